--- a/crates/lab/src/host/dispatcher.rs
+++ b/crates/lab/src/host/dispatcher.rs
@@ -182,7 +182,7 @@
                     destination: DestinationId(destination),
                     key: if key == 0 { None } else { Some(OrderingKey(key)) },
                     deadline: self.clock.at(deadline),
-                    call_bytes: 0,
+                    batch_entry_bytes: 0,
                     restored: false,
                 };
                 self.on_submitted(message, submission, deadline, inputs);
@@ -233,20 +233,20 @@
             });
             inputs.push(Input::RetryAfter { endpoint, span: Duration::from_micros(retry_after) });
         }
-        let waited = Duration::from_micros(self.now.saturating_sub(ended.sent_at));
+        let elapsed = Duration::from_micros(self.now.saturating_sub(ended.sent_at));
         for attempt in ends {
             let AttemptEnd { message, outcome, closed } = *attempt;
             self.record_attempt_end(call, message, outcome, closed);
             let message = MessageId(message);
-            let run = RunState::of(outcome);
-            inputs.push(Input::AttemptEnded { message, endpoint, waited, outcome, run, closed });
+            let run = RunState::from_outcome(outcome);
+            inputs.push(Input::AttemptEnded { message, endpoint, elapsed, outcome, run, closed });
         }
     }
 
     fn record_attempt_end(&mut self, call: u64, message: u64, outcome: Outcome, closed: bool) {
         let end = fact_of_outcome(outcome);
         self.record(Fact::AttemptEnded { message, call, relay: self.relay, outcome: end });
-        if RunState::of(outcome) == RunState::NeverRan
+        if RunState::from_outcome(outcome) == RunState::NeverRan
             && let Some(stored) = self.spool.get_mut(&message)
             && let Some(attempt) = stored.attempts.last_mut()
         {
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -261,7 +261,7 @@
                 scenario::ListedRate::Approximate => ListedRate::Approximate,
                 scenario::ListedRate::Unknown => ListedRate::Unknown,
             },
-            must_poll: relays.watch,
+            requires_polling: relays.watch,
             poll_interval: rules.poll_interval.0,
             may_cancel: relays.may_cancel,
             max_retry_after: rules.max_retry_after.0,
--- a/crates/relay/src/dispatch/actions.rs
+++ b/crates/relay/src/dispatch/actions.rs
@@ -44,7 +44,7 @@
         }
         // What was not written to its last byte can't have run.
         let (outcome, end) = if call.stage.get() == CallStage::Written {
-            (Outcome::Cancelled, CallEnd::BrokenOff)
+            (Outcome::Cancelled, CallEnd::Interrupted)
         } else {
             (Outcome::NotSent, CallEnd::NotWritten)
         };
--- a/crates/relay/src/dispatch/calls.rs
+++ b/crates/relay/src/dispatch/calls.rs
@@ -49,17 +49,17 @@
 impl BeginGuard {
     /// How the attempt of a message ends if it must not begin now.
     fn check(&self, spool: &Spool, message: MessageId, now: Duration) -> Result<(), Outcome> {
-        let Err(refusal) = self.policy.borrow().check_begin(message, self.endpoint, now) else {
+        let Err(refusal) = self.policy.borrow().check_before_send(message, self.endpoint, now) else {
             return Ok(());
         };
         self.metrics.count_stopped_send(refusal.name());
         // The others are events that crossed; these the decisions must never ask for.
         match refusal {
-            SendRefusal::UnsafeRepeat => {
+            SendError::UnsafeRepeat => {
                 self.report(ViolationKind::UnsafeRepeat, spool, message, "no earlier run");
             }
-            SendRefusal::OutOfTurn => {
-                let turn = self.policy.borrow().turn(message, now);
+            SendError::OutOfOrder => {
+                let turn = self.policy.borrow().ordering_state(message, now);
                 let expected = format!("its turn, is {}", turn_text(spool, turn));
                 self.report(ViolationKind::OutOfTurn, spool, message, &expected);
             }
@@ -91,16 +91,16 @@
 }
 
 /// A turn as log lines tell it, with the client's id of the other message.
-fn turn_text(spool: &Spool, turn: Option<Turn>) -> String {
+fn turn_text(spool: &Spool, turn: Option<OrderingState>) -> String {
     let id_of = |message: MessageId| {
         let stored = spool.get(message.0);
         stored.map_or_else(|| "-".into(), |stored| String::from_utf8_lossy(&stored.accepted.id).into_owned())
     };
     match turn {
         None => "not held".into(),
-        Some(Turn::Now) => "next".into(),
-        Some(Turn::Behind(other)) => format!("behind message {}", id_of(other)),
-        Some(Turn::RestsBehind(other, until)) => {
+        Some(OrderingState::Next) => "next".into(),
+        Some(OrderingState::QueuedBehind(other)) => format!("behind message {}", id_of(other)),
+        Some(OrderingState::HeldOff(other, until)) => {
             format!("resting behind message {} until {until:?}", id_of(other))
         }
     }
--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -34,7 +34,7 @@
     }
 
     fn close_message(&mut self, message: MessageId, inputs: &mut Vec<Input>) {
-        self.close_in_spool(message, AttemptAtClose::InFlight);
+        self.close_in_spool(message, ClosingAttempt::InFlight);
         inputs.push(Input::Closed(message));
     }
 
@@ -200,7 +200,7 @@
             return;
         }
         let endpoint = call.endpoint;
-        let waited = self.now.saturating_sub(call.sent_at);
+        let elapsed = self.now.saturating_sub(call.sent_at);
         let is_recorded = call.stage.get() != CallStage::Connecting;
         if call.messages.is_empty() {
             self.calls_in_flight.remove(&number);
@@ -216,9 +216,9 @@
                 self.metrics.count_final_answer("delivered");
             }
             self.remember_ended(message);
-            self.close_in_spool(message, AttemptAtClose::Ended(run));
+            self.close_in_spool(message, ClosingAttempt::Ended(run));
         }
-        inputs.push(Input::AttemptEnded { message, endpoint, waited, outcome, run, closed });
+        inputs.push(Input::AttemptEnded { message, endpoint, elapsed, outcome, run, closed });
     }
 
     /// The decisions let the key of the message rest from here on. Counted and logged apart from them.
--- a/crates/relay/src/dispatch/mod.rs
+++ b/crates/relay/src/dispatch/mod.rs
@@ -188,7 +188,7 @@
         let policy = self.state.policy.clone();
         policy.borrow_mut().step(now, inputs, &mut self.state);
         for attempt in self.state.pending_sends.iter_mut().flat_map(|sends| &mut sends.attempts) {
-            attempt.needs_record = !policy.borrow().may_send_unrecorded(attempt.message);
+            attempt.needs_record = !policy.borrow().may_send_without_record(attempt.message);
         }
         self.state.execute_step();
         for question in std::mem::take(&mut self.state.reachability_questions) {
--- a/crates/relay/src/dispatch/state.rs
+++ b/crates/relay/src/dispatch/state.rs
@@ -297,8 +297,8 @@
 
     /// Removes a message that is closed, or keeps it in the spool as one that has ended for as long as the next process
     /// has to know of it.
-    pub(super) fn close_in_spool(&mut self, message: MessageId, attempt: AttemptAtClose) {
-        let until = self.policy.borrow().must_be_known_until(message, self.now, attempt);
+    pub(super) fn close_in_spool(&mut self, message: MessageId, attempt: ClosingAttempt) {
+        let until = self.policy.borrow().record_needed_until(message, self.now, attempt);
         let Some(until) = until else { return self.remove_message(message) };
         let mut spool = self.spool.borrow_mut();
         let Some(stored) = spool.get(message.0) else { return };
@@ -351,7 +351,7 @@
         metadata: &SubmissionMetadata,
         ordering_key: u64,
         deadline: Duration,
-        call_bytes: usize,
+        batch_entry_bytes: usize,
     ) -> Option<Submission> {
         let class = position(&self.settings.classes, &metadata.class)?;
         let tenant = metadata.tenant.as_deref().and_then(|name| position(&self.settings.tenants, name));
@@ -361,7 +361,7 @@
             destination: DestinationId(metadata.destination),
             key: if ordering_key == NO_ORDERING_KEY { None } else { Some(OrderingKey(ordering_key)) },
             deadline,
-            call_bytes,
+            batch_entry_bytes,
             restored: false,
         })
     }
--- a/crates/relay/src/startup/tasks.rs
+++ b/crates/relay/src/startup/tasks.rs
@@ -124,12 +124,12 @@
         moves: Receiver<SocketAddr>,
     ) {
         let settings = &config.policy_settings;
-        let poll_interval = if settings.must_poll { settings.poll_interval } else { Duration::ZERO };
+        let poll_interval = if settings.requires_polling { settings.poll_interval } else { Duration::ZERO };
         let client = DiscoveryClient::new(DiscoveryOptions {
             address: config.discovery,
             moves,
             revision: initial_list.map(|list| list.revision),
-            poll_requests: if settings.must_poll { Some(self.poll_requests.1.clone()) } else { None },
+            poll_requests: if settings.requires_polling { Some(self.poll_requests.1.clone()) } else { None },
             max_list_bytes: config.memory_bytes / LIST_MEMORY_DIVISOR,
             jitter: Jitter::new(settings.seed),
             schedule: PollSchedule { relay_count: settings.relay_count, poll_interval },
--- a/crates/relay/src/upstream/attempt.rs
+++ b/crates/relay/src/upstream/attempt.rs
@@ -83,7 +83,7 @@
         end: CallEnd,
         closed: bool,
     ) -> CallResult {
-        let run = RunState::after(outcome, end);
+        let run = RunState::from_call(outcome, end);
         let result = |message| AttemptResult { message, outcome, run, closed };
         CallResult {
             attempts: messages.into_iter().map(result).collect(),
@@ -183,7 +183,7 @@
     /// No whole answer came. Whatever the outcome, the endpoint may still be at work: the relay gave the call up, or its
     /// connection ended.
     fn broken_off(&self, outcome: Outcome) -> CallResult {
-        self.same_for_all(outcome, CallEnd::BrokenOff, false)
+        self.same_for_all(outcome, CallEnd::Interrupted, false)
     }
 
     fn answered(&self, outcome: Outcome, closed: bool) -> CallResult {
@@ -318,7 +318,7 @@
         match response.status {
             // The first line is all that counts. The endpoint may go on with the rest of it all the same.
             200 if self.messages.len() == 1 && !response.complete => {
-                self.same_for_all(Outcome::Delivered, CallEnd::BrokenOff, true)
+                self.same_for_all(Outcome::Delivered, CallEnd::Interrupted, true)
             }
             200 if self.messages.len() == 1 => self.answered(Outcome::Delivered, true),
             200 if !response.complete => self.broken_off(Outcome::Error),
@@ -353,7 +353,7 @@
         let result = |message: &CallMessage| {
             let word = words_by_id.get(&message.id[..]).copied();
             let (outcome, closed) = batch_outcome(word, retry_after);
-            let run = RunState::after(outcome, CallEnd::Answered);
+            let run = RunState::from_call(outcome, CallEnd::Answered);
             AttemptResult { message: message.message, outcome, run, closed }
         };
         CallResult {
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -38,7 +38,7 @@
         max_queued: settings.count::<u32>("limits.openCap")? as usize,
         max_attempts: settings.count::<u32>("limits.maxAttempts")?.min(255) as u8,
         listed_rate: listed_rate(settings)?,
-        must_poll: settings.value_or("discovery", "automatic".to_string())? == "subscribe",
+        requires_polling: settings.value_or("discovery", "automatic".to_string())? == "subscribe",
         poll_interval: settings.duration_or_zero("obligations.askWithin")?,
         may_cancel: settings.value_or("limits.cancel", false)?,
         max_retry_after: settings.duration_or_zero("limits.maxRetryAfter")?,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -48,7 +48,7 @@
         (RelayId(2), keyed, true)
     );
     assert_eq!(
-        (policy.tenant_quotas, policy.zone_fees, policy.must_poll),
+        (policy.tenant_quotas, policy.zone_fees, policy.requires_polling),
         (vec![4.5], vec![0.5, 0.25], true)
     );
     assert_eq!(
--- a/crates/simulation-adapter/src/decode.rs
+++ b/crates/simulation-adapter/src/decode.rs
@@ -18,7 +18,8 @@
         0 => None,
         key => Some(OrderingKey(key)),
     };
-    let submission = Submission { class, tenant, destination, key, deadline, call_bytes: 0, restored: false };
+    let submission =
+        Submission { class, tenant, destination, key, deadline, batch_entry_bytes: 0, restored: false };
     Ok(Input::Submitted { message, submission })
 }
 
@@ -34,7 +35,7 @@
     let message = MessageId(fields.u64("id")?);
     let retry_after = Duration::from_millis(u64::from(fields.u32("holdMs")?));
     fields.u8("go")?;
-    let waited = Duration::from_micros(u64::from(fields.u32("waitTime")?));
+    let elapsed = Duration::from_micros(u64::from(fields.u32("waitTime")?));
     let endpoint = fields.endpoint("endpoint")?;
     let closed = fields.u8("over")? != 0;
     let outcome = decode_outcome(fields.u8("code")?, retry_after)?;
@@ -46,8 +47,8 @@
             inputs.push(Input::RateLimitReported { endpoint, rate: value.into() });
         }
     }
-    let run = RunState::of(outcome);
-    inputs.push(Input::AttemptEnded { message, endpoint, waited, outcome, run, closed });
+    let run = RunState::from_outcome(outcome);
+    inputs.push(Input::AttemptEnded { message, endpoint, elapsed, outcome, run, closed });
     Ok(())
 }
 
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -42,7 +42,7 @@
             Outcome::Delivered | Outcome::Error | Outcome::Rejected { .. } | Outcome::ConnectionLimit => {
                 CallEnd::Answered
             }
-            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => CallEnd::BrokenOff,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => CallEnd::Interrupted,
             Outcome::ConnectFailed | Outcome::NotSent | Outcome::LocalFailure => CallEnd::NotWritten,
         }
     }
@@ -72,7 +72,7 @@
     /// Its answer was read to its end: the endpoint is done with it.
     Answered,
     /// The relay or the endpoint ended it before the answer was whole: the endpoint may still be at work.
-    BrokenOff,
+    Interrupted,
 }
 
 /// What is known of the run of an attempt that has ended for the relay.
@@ -90,10 +90,10 @@
 
 impl RunState {
     /// The protocol's table of outcomes, and the only place that derives the state of a run.
-    pub fn after(outcome: Outcome, end: CallEnd) -> RunState {
+    pub fn from_call(outcome: Outcome, end: CallEnd) -> RunState {
         match (end, outcome) {
             (CallEnd::NotWritten, _) => RunState::NeverRan,
-            (CallEnd::BrokenOff, _) => RunState::MayBeRunning,
+            (CallEnd::Interrupted, _) => RunState::MayBeRunning,
             (CallEnd::Answered, Outcome::Delivered) => RunState::Ran,
             (CallEnd::Answered, Outcome::Rejected { .. } | Outcome::ConnectionLimit | Outcome::NotSent) => {
                 RunState::NeverRan
@@ -103,8 +103,8 @@
     }
 
     /// The state behind an answer that was read whole, or behind none.
-    pub fn of(outcome: Outcome) -> RunState {
-        RunState::after(outcome, outcome.call_end())
+    pub fn from_outcome(outcome: Outcome) -> RunState {
+        RunState::from_call(outcome, outcome.call_end())
     }
 
     /// Its name in metrics and log lines.
--- a/src/interface/input.rs
+++ b/src/interface/input.rs
@@ -35,7 +35,7 @@
         /// Where it was sent.
         endpoint: EndpointId,
         /// How long it was in flight.
-        waited: Duration,
+        elapsed: Duration,
         /// What the endpoint answered.
         outcome: Outcome,
         /// What is known of its run.
--- a/src/interface/message.rs
+++ b/src/interface/message.rs
@@ -27,7 +27,7 @@
     }
 
     /// True where a message that has run does no harm wherever it runs again.
-    pub fn is_repeatable_anywhere(self) -> bool {
+    pub fn is_safe_to_repeat_at_any_endpoint(self) -> bool {
         matches!(
             self,
             Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::AllEndpoints, .. }
@@ -68,7 +68,7 @@
     /// When its final answer is due at the latest.
     pub deadline: Duration,
     /// Bytes that it takes at most in a call of several messages; 0 where a host has no such limit.
-    pub call_bytes: usize,
+    pub batch_entry_bytes: usize,
     /// An earlier process of the relay accepted it.
     pub restored: bool,
 }
@@ -92,18 +92,18 @@
 
 /// Whether it is a message's turn among those of its key, and what it waits for if not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum OrderingState {
     /// It is, or the message has no key.
-    Now,
+    Next,
     /// This one is before it.
-    Behind(MessageId),
+    QueuedBehind(MessageId),
     /// An attempt of this one may still be running until then.
-    RestsBehind(MessageId, Duration),
+    HeldOff(MessageId, Duration),
 }
 
 /// The attempt of a message that is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptAtClose {
+pub enum ClosingAttempt {
     /// One may be in flight, which goes on.
     InFlight,
     /// The end of its only one in flight closes it.
@@ -112,31 +112,31 @@
 
 /// Why an attempt that was decided may not begin after all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendRefusal {
+pub enum SendError {
     /// The message has its final answer, or is withdrawn.
     Ended,
     /// Its deadline is over (rule 1).
-    DeadlineOver,
+    DeadlinePassed,
     /// An earlier attempt may have run, and the message must not run twice (rule 2).
     UnsafeRepeat,
     /// No endpoint recognises the repeat any more (rule 2).
-    WindowOver,
+    DeduplicationExpired,
     /// The endpoint is draining or removed, or a `Retry-After` binds (rules 3 and 6).
     EndpointUnavailable,
     /// Another message of its key is before it, or an attempt of one may still be running (rule 5).
-    OutOfTurn,
+    OutOfOrder,
 }
 
-impl SendRefusal {
+impl SendError {
     /// Its name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
-            SendRefusal::Ended => "ended",
-            SendRefusal::DeadlineOver => "deadline_over",
-            SendRefusal::UnsafeRepeat => "unsafe_repeat",
-            SendRefusal::WindowOver => "window_over",
-            SendRefusal::EndpointUnavailable => "endpoint_unavailable",
-            SendRefusal::OutOfTurn => "out_of_turn",
+            SendError::Ended => "ended",
+            SendError::DeadlinePassed => "deadline_over",
+            SendError::UnsafeRepeat => "unsafe_repeat",
+            SendError::DeduplicationExpired => "window_over",
+            SendError::EndpointUnavailable => "endpoint_unavailable",
+            SendError::OutOfOrder => "out_of_turn",
         }
     }
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -55,7 +55,7 @@
     /// How the rate in the endpoint list is to be read.
     pub listed_rate: ListedRate,
     /// The endpoint list comes only when asked for.
-    pub must_poll: bool,
+    pub requires_polling: bool,
     /// Where it does: how often a relay is to ask.
     pub poll_interval: Duration,
     /// Attempts may be cancelled.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -55,7 +55,7 @@
 
 /// Rule 2: a message is rejected only where submitting it again is safe.
 fn may_reject(state: &State, message: &Message) -> bool {
-    let is_repeatable = state.class_of(message).idempotency.is_repeatable_anywhere();
+    let is_repeatable = state.class_of(message).idempotency.is_safe_to_repeat_at_any_endpoint();
     let may_come_again = message.first_possible_run.is_none() || is_repeatable;
     message.call.is_none() && may_come_again && !message.is_untried_since_restart()
 }
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -24,9 +24,9 @@
 pub(crate) const RECENT_RESULT_SECONDS: usize = 4;
 
 /// Counts the result of a call for its endpoint and its route.
-pub(super) fn record_result(state: &mut State, call: &CallResult, waited: Duration, outcome: Outcome) {
+pub(super) fn record_result(state: &mut State, call: &CallResult, elapsed: Duration, outcome: Outcome) {
     match outcome {
-        Outcome::Delivered => call_succeeded(state, call, waited),
+        Outcome::Delivered => call_succeeded(state, call, elapsed),
         Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFailure => {
             state.routes.end_trial(call.route, call.number, Breaker::HalfOpen(None));
         }
@@ -39,12 +39,12 @@
     }
 }
 
-fn call_succeeded(state: &mut State, call: &CallResult, waited: Duration) {
+fn call_succeeded(state: &mut State, call: &CallResult, elapsed: Duration) {
     if call.is_first_result {
         pacing::learn_own_rate(state, call.route);
     }
     let (now, relay_count) = (state.now, state.relay_count());
-    state.endpoints.record_success(call.endpoint, now, waited, LIMIT_MAX);
+    state.endpoints.record_success(call.endpoint, now, elapsed, LIMIT_MAX);
     let Some(route) = state.routes.get_mut(call.route) else { return };
     route.recent_results.add_flag(now, false);
     // In a large fleet or at a quiet route no relay may see enough failures to open: without this all
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -65,19 +65,19 @@
     }
 
     /// Rule 5: until when a process after this one has to know of a message that is closed now; none if it need not.
-    pub fn must_be_known_until(
+    pub fn record_needed_until(
         &self,
         message: MessageId,
         now: Duration,
-        attempt: AttemptAtClose,
+        attempt: ClosingAttempt,
     ) -> Option<Duration> {
-        safety::must_be_known_until(&self.state, message, now, attempt)
+        safety::record_needed_until(&self.state, message, now, attempt)
     }
 
     /// Rule 5: whether it is a message's turn in its key. None if the message is not held.
-    pub fn turn(&self, message: MessageId, now: Duration) -> Option<Turn> {
+    pub fn ordering_state(&self, message: MessageId, now: Duration) -> Option<OrderingState> {
         let held = self.state.messages.get(message)?;
-        Some(self.state.messages.turn(message, held, now))
+        Some(self.state.messages.ordering_state(message, held, now))
     }
 
     /// By which key a message is in order; none if it is in no order, or not held.
@@ -89,18 +89,18 @@
     ///
     /// # Errors
     /// Why the attempt must not begin.
-    pub fn check_begin(
+    pub fn check_before_send(
         &self,
         message: MessageId,
         endpoint: EndpointId,
         now: Duration,
-    ) -> Result<(), SendRefusal> {
-        safety::check_begin(&self.state, message, endpoint, now)
+    ) -> Result<(), SendError> {
+        safety::check_before_send(&self.state, message, endpoint, now)
     }
 
     /// Rules 2 and 5. A host asks where an attempt can't be recorded for the next process.
-    pub fn may_send_unrecorded(&self, message: MessageId) -> bool {
-        safety::may_send_unrecorded(&self.state, message)
+    pub fn may_send_without_record(&self, message: MessageId) -> bool {
+        safety::may_send_without_record(&self.state, message)
     }
 
     /// Rules 3 and 6. A host asks again where a call begins late: both may have changed.
@@ -117,8 +117,8 @@
         }
         Input::FinalAnswerPending(message) => state.messages.end(message, false),
         Input::Closed(message) => state.messages.close(message),
-        Input::AttemptEnded { message, endpoint, waited, outcome, run, closed } => {
-            retry::attempt_ended(state, message, &EndedAttempt { endpoint, waited, outcome, run, closed });
+        Input::AttemptEnded { message, endpoint, elapsed, outcome, run, closed } => {
+            retry::attempt_ended(state, message, &EndedAttempt { endpoint, elapsed, outcome, run, closed });
         }
         Input::RetryAfter { endpoint, span } => state.extend_retry_after(endpoint, span),
         Input::RateLimitReported { endpoint, rate } => pacing::rate_limit_reported(state, endpoint, rate),
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -42,7 +42,7 @@
     let was_refused = is_limited || outcome == Outcome::ConnectFailed;
     let was_lost = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
     state.record_connection(&call, was_refused, was_lost);
-    circuit_breaker::record_result(state, &call, ended.waited, outcome);
+    circuit_breaker::record_result(state, &call, ended.elapsed, outcome);
 }
 
 fn record_outcome(state: &mut State, id: MessageId, outcome: Outcome, run: RunState) {
--- a/src/policy/safety.rs
+++ b/src/policy/safety.rs
@@ -25,7 +25,7 @@
     }
     let timeout = timeouts::timeout(state, call.endpoint, state.class_of(message), message.timeouts);
     let limit = attempt_limit(state, message, timeout);
-    call.add(message.deadline - now, timeout, message.call_bytes);
+    call.add(message.deadline - now, timeout, message.batch_entry_bytes);
     let run = PossibleRun { at: now, zone: endpoint.zone };
     if let Some(message) = state.messages.get_mut(id) {
         message.record_sent(call.number, run);
@@ -60,54 +60,54 @@
 /// Rules 2 and 5, where the state folder can't be written: an attempt that no later process will know of is sent only
 /// where a repeat does no harm and comes into nobody's turn. What may run once, within a window or in order waits for
 /// the folder, at most until its deadline.
-pub(super) fn may_send_unrecorded(state: &State, id: MessageId) -> bool {
+pub(super) fn may_send_without_record(state: &State, id: MessageId) -> bool {
     let Some(message) = state.messages.get(id) else { return false };
     state.class_of(message).idempotency == Idempotency::Idempotent && message.key.is_none()
 }
 
 /// Rule 5 across processes: until when the next process has to know of a message that is closed, as an attempt of it
 /// may still be running and holds off the rest of its key. None if it need not.
-pub(super) fn must_be_known_until(
+pub(super) fn record_needed_until(
     state: &State,
     id: MessageId,
     now: Duration,
-    attempt: AttemptAtClose,
+    attempt: ClosingAttempt,
 ) -> Option<Duration> {
     let message = state.messages.get(id)?;
     message.key?;
     let hold_off = state.settings.order_hold_off;
     match attempt {
-        AttemptAtClose::InFlight if message.call.is_some() => Some(message.deadline.max(now) + hold_off),
+        ClosingAttempt::InFlight if message.call.is_some() => Some(message.deadline.max(now) + hold_off),
         // The decisions hear of this end later in the step.
-        AttemptAtClose::Ended(RunState::MayBeRunning) => Some(now + hold_off),
+        ClosingAttempt::Ended(RunState::MayBeRunning) => Some(now + hold_off),
         _ => state.messages.holds_key_off_until(id, now),
     }
 }
 
 /// The rules again, right before the first byte of an attempt that was decided a while ago.
-pub(super) fn check_begin(
+pub(super) fn check_before_send(
     state: &State,
     id: MessageId,
     to: EndpointId,
     now: Duration,
-) -> Result<(), SendRefusal> {
-    let message = state.messages.get(id).filter(|message| !message.ended).ok_or(SendRefusal::Ended)?;
+) -> Result<(), SendError> {
+    let message = state.messages.get(id).filter(|message| !message.ended).ok_or(SendError::Ended)?;
     let class = state.class_of(message);
     if message.deadline <= now {
-        return Err(SendRefusal::DeadlineOver);
+        return Err(SendError::DeadlinePassed);
     }
     // The attempt itself is one of those that may run.
     let is_repeat = message.possible_runs > 1;
     if is_repeat && class.idempotency == Idempotency::NotIdempotent {
-        return Err(SendRefusal::UnsafeRepeat);
+        return Err(SendError::UnsafeRepeat);
     }
     if is_repeat && message.deduplication_left(class, now) == Some(Duration::ZERO) {
-        return Err(SendRefusal::WindowOver);
+        return Err(SendError::DeduplicationExpired);
     }
     if !state.messages.is_turn(id, message, now) {
-        return Err(SendRefusal::OutOfTurn);
+        return Err(SendError::OutOfOrder);
     }
-    if may_send_to(state, to, now) { Ok(()) } else { Err(SendRefusal::EndpointUnavailable) }
+    if may_send_to(state, to, now) { Ok(()) } else { Err(SendError::EndpointUnavailable) }
 }
 
 /// Rule 4: within the budget of its slow start, or as a trial.
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -139,7 +139,7 @@
 
 /// A message fits alone however large it is: only a call of several ones has its bytes beside those of others.
 fn fits(draft: &CallDraft, message: &Message) -> bool {
-    draft.messages == 0 || draft.bytes_with(message.call_bytes) <= MAX_CALL_BYTES
+    draft.messages == 0 || draft.bytes_with(message.batch_entry_bytes) <= MAX_CALL_BYTES
 }
 
 /// A call ends at its shortest limit, so one with little time left would cut others off. One whose time is
--- a/src/state/key_queues.rs
+++ b/src/state/key_queues.rs
@@ -3,7 +3,7 @@
 //! The turn of a key belongs to the message at the head of its queue, until nothing more is sent for that one. Behind an
 //! attempt that may still be running the key rests: no other message has the turn until then.
 
-use crate::interface::{MessageId, OrderingKey, Turn};
+use crate::interface::{MessageId, OrderingKey, OrderingState};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -28,16 +28,16 @@
         }
     }
 
-    fn turn(&self, message: MessageId, now: Duration) -> Turn {
+    fn ordering_state(&self, message: MessageId, now: Duration) -> OrderingState {
         match self.messages.front() {
-            Some(first) if *first != message => return Turn::Behind(*first),
+            Some(first) if *first != message => return OrderingState::QueuedBehind(*first),
             _ => {}
         }
         // Another attempt of the same message need not wait: its turn goes on.
         let of_others = self.rests.iter().filter(|rest| rest.behind != message && rest.until > now);
         match of_others.max_by_key(|rest| rest.until) {
-            Some(rest) => Turn::RestsBehind(rest.behind, rest.until),
-            None => Turn::Now,
+            Some(rest) => OrderingState::HeldOff(rest.behind, rest.until),
+            None => OrderingState::Next,
         }
     }
 }
@@ -79,10 +79,15 @@
     }
 
     /// Whether it is the message's turn, and what it waits for if not.
-    pub(crate) fn turn(&self, key: Option<OrderingKey>, message: MessageId, now: Duration) -> Turn {
+    pub(crate) fn ordering_state(
+        &self,
+        key: Option<OrderingKey>,
+        message: MessageId,
+        now: Duration,
+    ) -> OrderingState {
         match key.and_then(|key| self.queues.get(&key)) {
-            Some(queue) => queue.turn(message, now),
-            None => Turn::Now,
+            Some(queue) => queue.ordering_state(message, now),
+            None => OrderingState::Next,
         }
     }
 
--- a/src/state/messages.rs
+++ b/src/state/messages.rs
@@ -16,7 +16,7 @@
 /// An attempt that ended, as the host tells it.
 pub(crate) struct EndedAttempt {
     pub(crate) endpoint: EndpointId,
-    pub(crate) waited: Duration,
+    pub(crate) elapsed: Duration,
     pub(crate) outcome: Outcome,
     pub(crate) run: RunState,
     /// Nothing more is sent for the message.
@@ -32,7 +32,7 @@
     pub(crate) objective: Duration,
     pub(crate) deadline: Duration,
     /// Bytes that it takes in a call of several messages.
-    pub(crate) call_bytes: usize,
+    pub(crate) batch_entry_bytes: usize,
     pub(crate) over_quota: bool,
     /// An earlier process of the relay accepted it.
     pub(crate) restored: bool,
@@ -56,7 +56,7 @@
             key: submission.key.filter(|_| class.in_order),
             objective: (submission.deadline + class.latency_objective).saturating_sub(class.deadline),
             deadline: submission.deadline,
-            call_bytes: submission.call_bytes,
+            batch_entry_bytes: submission.batch_entry_bytes,
             restored: submission.restored,
             ..Message::default()
         }
@@ -175,12 +175,12 @@
     }
 
     /// Whether it is the message's turn in its key, and what it waits for if not.
-    pub(crate) fn turn(&self, id: MessageId, message: &Message, now: Duration) -> Turn {
-        self.key_queues.turn(message.key, id, now)
+    pub(crate) fn ordering_state(&self, id: MessageId, message: &Message, now: Duration) -> OrderingState {
+        self.key_queues.ordering_state(message.key, id, now)
     }
 
     pub(crate) fn is_turn(&self, id: MessageId, message: &Message, now: Duration) -> bool {
-        self.turn(id, message, now) == Turn::Now
+        self.ordering_state(id, message, now) == OrderingState::Next
     }
 
     /// How many messages wait for this one's key, itself included.
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -265,22 +265,26 @@
 fn a_key_queue_lets_the_first_message_go_and_holds_the_others_off() {
     let (first, second, key) = (MessageId(1), MessageId(2), Some(OrderingKey(9)));
     let mut queues = KeyQueues::default();
-    assert_eq!(queues.turn(None, first, seconds(0.0)), Turn::Now, "a message without a key");
+    assert_eq!(
+        queues.ordering_state(None, first, seconds(0.0)),
+        OrderingState::Next,
+        "a message without a key"
+    );
     queues.push(OrderingKey(9), first);
     queues.push(OrderingKey(9), second);
     assert_eq!((queues.length(key), queues.length(None)), (2, 1));
-    assert_eq!(queues.turn(key, first, seconds(0.0)), Turn::Now);
-    assert_eq!(queues.turn(key, second, seconds(0.0)), Turn::Behind(first));
+    assert_eq!(queues.ordering_state(key, first, seconds(0.0)), OrderingState::Next);
+    assert_eq!(queues.ordering_state(key, second, seconds(0.0)), OrderingState::QueuedBehind(first));
     queues.hold_off(key, seconds(1.0), first);
     assert_eq!(
-        queues.turn(key, first, seconds(0.5)),
-        Turn::Now,
+        queues.ordering_state(key, first, seconds(0.5)),
+        OrderingState::Next,
         "a retry of the one that holds the others off"
     );
     queues.remove(key, first);
     queues.discard_unused(seconds(0.5));
-    assert_eq!(queues.turn(key, second, seconds(0.9)), Turn::RestsBehind(first, seconds(1.0)));
-    assert_eq!(queues.turn(key, second, seconds(1.0)), Turn::Now);
+    assert_eq!(queues.ordering_state(key, second, seconds(0.9)), OrderingState::HeldOff(first, seconds(1.0)));
+    assert_eq!(queues.ordering_state(key, second, seconds(1.0)), OrderingState::Next);
     queues.remove(key, second);
     queues.discard_unused(seconds(1.0));
     assert_eq!(queues.length(key), 1, "the queue is forgotten");
@@ -296,8 +300,8 @@
     queues.hold_off(key, seconds(2.0), first);
     queues.hold_off(key, seconds(1.0), second);
     queues.hold_off(key, seconds(1.5), first);
-    assert_eq!(queues.turn(key, second, seconds(1.2)), Turn::RestsBehind(first, seconds(2.0)));
-    assert_eq!(queues.turn(key, second, seconds(2.0)), Turn::Now);
+    assert_eq!(queues.ordering_state(key, second, seconds(1.2)), OrderingState::HeldOff(first, seconds(2.0)));
+    assert_eq!(queues.ordering_state(key, second, seconds(2.0)), OrderingState::Next);
 }
 
 // Each kind of answer beside each way in which a call ends.
@@ -305,18 +309,18 @@
 fn the_state_of_a_run_follows_from_the_end_of_its_call_first() {
     let rejected = Outcome::Rejected { retry_after: Duration::ZERO };
     let answers = [Outcome::Delivered, Outcome::Error, rejected, Outcome::ConnectionLimit, Outcome::NotSent];
-    let whole = answers.map(|outcome| RunState::after(outcome, CallEnd::Answered));
+    let whole = answers.map(|outcome| RunState::from_call(outcome, CallEnd::Answered));
     let (never, may_have) = (RunState::NeverRan, RunState::MayHaveRun);
     assert_eq!(whole, [RunState::Ran, may_have, never, never, never]);
     assert_eq!(
-        answers.map(|outcome| RunState::after(outcome, CallEnd::BrokenOff)),
+        answers.map(|outcome| RunState::from_call(outcome, CallEnd::Interrupted)),
         [RunState::MayBeRunning; 5]
     );
-    assert_eq!(answers.map(|outcome| RunState::after(outcome, CallEnd::NotWritten)), [never; 5]);
+    assert_eq!(answers.map(|outcome| RunState::from_call(outcome, CallEnd::NotWritten)), [never; 5]);
     let unanswered = [Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
-    assert_eq!(unanswered.map(RunState::of), [RunState::MayBeRunning; 3]);
+    assert_eq!(unanswered.map(RunState::from_outcome), [RunState::MayBeRunning; 3]);
     let unsent = [Outcome::ConnectFailed, Outcome::LocalFailure, Outcome::NotSent];
-    assert_eq!(unsent.map(RunState::of), [never; 3]);
+    assert_eq!(unsent.map(RunState::from_outcome), [never; 3]);
 }
 
 fn class(idempotency: Idempotency) -> MessageClass {
@@ -382,7 +386,7 @@
         destination: DestinationId(4),
         key: Some(OrderingKey(key)),
         deadline: seconds(12.0),
-        call_bytes: 0,
+        batch_entry_bytes: 0,
         restored: false,
     }
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -142,7 +142,7 @@
         max_attempts: words.number("legs", 8.0) as u8,
         tenant_quotas: vec![words.number("quota", 1e6); 2],
         listed_rate: if words.has("untold") { ListedRate::Unknown } else { ListedRate::Exact },
-        must_poll: words.has("watch"),
+        requires_polling: words.has("watch"),
         poll_interval: words.span("ask", 0.0),
         may_cancel: true,
         max_retry_after: words.span("pause", 3.0),
@@ -181,7 +181,7 @@
         destination: words.destination(),
         key: (key > 0).then_some(OrderingKey(key)),
         deadline: now + classes[class as usize].deadline,
-        call_bytes: words.number("bytes", 0.0) as usize,
+        batch_entry_bytes: words.number("bytes", 0.0) as usize,
         restored: words.has("restored"),
     };
     Input::Submitted { message: words.message(), submission }
@@ -203,9 +203,9 @@
     Input::AttemptEnded {
         message: words.message(),
         endpoint: words.endpoint(2),
-        waited: words.span("took", 0.1),
+        elapsed: words.span("took", 0.1),
         outcome,
-        run: if words.has("running") { RunState::MayBeRunning } else { RunState::of(outcome) },
+        run: if words.has("running") { RunState::MayBeRunning } else { RunState::from_outcome(outcome) },
         closed: matches!(outcome, Outcome::Delivered | Outcome::NotSent),
     }
 }
--- a/tests/turn.rs
+++ b/tests/turn.rs
@@ -64,7 +64,7 @@
         destination: DestinationId(1),
         key: Some(KEY),
         deadline: Duration::from_secs(12),
-        call_bytes: 0,
+        batch_entry_bytes: 0,
         restored: false,
     };
     Input::Submitted { message: MessageId(message), submission }
@@ -88,22 +88,22 @@
     let mut now = Duration::from_secs(1);
     policy.step(now, [listed(), submitted(1), submitted(2)], &mut sends);
     assert_eq!(sends.0, [first]);
-    assert_eq!(policy.check_begin(first, ENDPOINT, now), Ok(()));
-    assert_eq!(policy.check_begin(second, ENDPOINT, now), Err(SendRefusal::OutOfTurn));
-    assert_eq!(policy.turn(second, now), Some(Turn::Behind(first)));
+    assert_eq!(policy.check_before_send(first, ENDPOINT, now), Ok(()));
+    assert_eq!(policy.check_before_send(second, ENDPOINT, now), Err(SendError::OutOfOrder));
+    assert_eq!(policy.ordering_state(second, now), Some(OrderingState::QueuedBehind(first)));
     now += Duration::from_millis(100);
     // Delivered, as the first line of the answer says, and given up behind that.
     let ended = Input::AttemptEnded {
         message: first,
         endpoint: ENDPOINT,
-        waited: Duration::from_millis(100),
+        elapsed: Duration::from_millis(100),
         outcome: Outcome::Delivered,
         run: RunState::MayBeRunning,
         closed: true,
     };
     policy.step(now, [ended], &mut sends);
-    assert_eq!(policy.turn(second, now), Some(Turn::RestsBehind(first, now + HOLD_OFF)));
+    assert_eq!(policy.ordering_state(second, now), Some(OrderingState::HeldOff(first, now + HOLD_OFF)));
     let almost = now + HOLD_OFF - Duration::from_millis(1);
-    assert_eq!(policy.check_begin(second, ENDPOINT, almost), Err(SendRefusal::OutOfTurn));
-    assert_eq!(policy.check_begin(second, ENDPOINT, now + HOLD_OFF), Ok(()));
+    assert_eq!(policy.check_before_send(second, ENDPOINT, almost), Err(SendError::OutOfOrder));
+    assert_eq!(policy.check_before_send(second, ENDPOINT, now + HOLD_OFF), Ok(()));
 }
