--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -1,6 +1,8 @@
 //! The control file, mapped into the process.
 
-use mountshift_faults::{CONTROL_BYTES, CONTROL_VARIABLE, CallWord, FULL_RATE, SystemCall, Word, call_word};
+use mountshift_faults::{
+    CONTROL_BYTES, CONTROL_VARIABLE, ControlWord, FULL_RATE, SystemCall, SystemCallWord, system_call_word,
+};
 use std::ffi::CString;
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -56,46 +58,54 @@
 
 /// Nanoseconds by which the wall clock is ahead.
 pub(crate) fn wall_clock_offset() -> i64 {
-    word(Word::WallClockOffset as usize) as i64
+    word(ControlWord::WallClockOffset as usize) as i64
 }
 
 /// Milliseconds for which this write to a socket is held up.
 pub(crate) fn hold_milliseconds() -> u64 {
-    if draws(word(Word::HoldRate as usize)) { word(Word::HoldMilliseconds as usize) } else { 0 }
+    if draws(word(ControlWord::SocketWriteDelayRate as usize)) {
+        word(ControlWord::SocketWriteDelayMs as usize)
+    } else {
+        0
+    }
 }
 
 /// Milliseconds for which the process is held up behind this read of a clock.
 pub(crate) fn clock_hold_milliseconds() -> u64 {
-    if draws(word(Word::ClockHoldRate as usize)) { word(Word::ClockHoldMilliseconds as usize) } else { 0 }
+    if draws(word(ControlWord::ClockReadDelayRate as usize)) {
+        word(ControlWord::ClockReadDelayMs as usize)
+    } else {
+        0
+    }
 }
 
 /// Milliseconds for which this write to a file is held up; counted.
 pub(crate) fn file_hold_milliseconds() -> u64 {
-    let milliseconds = word(Word::FileHoldMilliseconds as usize);
+    let milliseconds = word(ControlWord::FileWriteDelayMs as usize);
     if milliseconds > 0
         && let Some(words) = WORDS.get_or_init(map)
     {
-        words[Word::FileHolds as usize].fetch_add(1, Ordering::Relaxed);
+        words[ControlWord::DelayedFileWrites as usize].fetch_add(1, Ordering::Relaxed);
     }
     milliseconds
 }
 
 /// What this call has to do.
 pub(crate) fn verdict(call: SystemCall) -> Verdict {
-    let read = |part: CallWord| word(call_word(call, part));
-    let verdict = if draws(read(CallWord::KillRate)) {
+    let read = |part: SystemCallWord| word(system_call_word(call, part));
+    let verdict = if draws(read(SystemCallWord::PartialWriteKillRate)) {
         Verdict::ShortAndKill
-    } else if draws(read(CallWord::ShortRate)) {
+    } else if draws(read(SystemCallWord::PartialWriteRate)) {
         Verdict::Short
-    } else if draws(read(CallWord::FailRate)) {
-        Verdict::Fail(read(CallWord::Errno) as i32)
+    } else if draws(read(SystemCallWord::FailRate)) {
+        Verdict::Fail(read(SystemCallWord::Errno) as i32)
     } else {
         Verdict::Pass
     };
     if verdict != Verdict::Pass
         && let Some(words) = WORDS.get_or_init(map)
     {
-        words[call_word(call, CallWord::Injected)].fetch_add(1, Ordering::Relaxed);
+        words[system_call_word(call, SystemCallWord::Injected)].fetch_add(1, Ordering::Relaxed);
     }
     verdict
 }
--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod support;
 
-use mountshift_faults::{CallFault, FULL_RATE, FaultControl, SystemCall};
+use mountshift_faults::{FULL_RATE, FaultControl, SystemCall, SystemCallFault};
 use std::collections::BTreeSet;
 use std::net::Shutdown;
 use std::sync::Arc;
@@ -91,12 +91,13 @@
     drop(relay);
     faults.set_wall_clock_offset_ms(HOUR_MS).expect("a step");
     // Nine of ten reads fail, so the first one of each file does; the draws of the shim are the same in each run.
-    let mostly = CallFault { errno: libc::EIO, fail_rate: FULL_RATE * 9 / 10, ..CallFault::default() };
-    faults.set_call_fault(SystemCall::FileRead, mostly).expect("a fault");
+    let mostly =
+        SystemCallFault { errno: libc::EIO, fail_rate: FULL_RATE * 9 / 10, ..SystemCallFault::default() };
+    faults.set_system_call_fault(SystemCall::FileRead, mostly).expect("a fault");
     well.store(true, Ordering::SeqCst);
     let calls_before = endpoint.ids().len();
     let _relay = fixture.relay_with_faults(&faults);
-    faults.set_call_fault(SystemCall::FileRead, CallFault::default()).expect("no fault");
+    faults.set_system_call_fault(SystemCall::FileRead, SystemCallFault::default()).expect("no fault");
     until("all messages", || {
         let later: BTreeSet<String> = endpoint.ids().split_off(calls_before).into_iter().collect();
         later == accepted
@@ -106,15 +107,24 @@
 
 /// Half of the writes are cut in half, the others fail; what was written can't be cut off again.
 fn break_writes(faults: &FaultControl) {
-    let write = CallFault { errno: libc::ENOSPC, fail_rate: FULL_RATE, short_rate: 500, kill_rate: 0 };
-    faults.set_call_fault(SystemCall::FileTruncate, CallFault::always(libc::EIO)).expect("a fault");
-    faults.set_call_fault(SystemCall::FileRename, CallFault::always(libc::EIO)).expect("a fault");
-    faults.set_call_fault(SystemCall::FileWrite, write).expect("a fault");
+    let write = SystemCallFault {
+        errno: libc::ENOSPC,
+        fail_rate: FULL_RATE,
+        partial_write_rate: 500,
+        partial_write_kill_rate: 0,
+    };
+    faults
+        .set_system_call_fault(SystemCall::FileTruncate, SystemCallFault::always(libc::EIO))
+        .expect("a fault");
+    faults
+        .set_system_call_fault(SystemCall::FileRename, SystemCallFault::always(libc::EIO))
+        .expect("a fault");
+    faults.set_system_call_fault(SystemCall::FileWrite, write).expect("a fault");
 }
 
 fn mend_files(faults: &FaultControl) {
     for call in [SystemCall::FileWrite, SystemCall::FileTruncate, SystemCall::FileRename] {
-        faults.set_call_fault(call, CallFault::default()).expect("no fault");
+        faults.set_system_call_fault(call, SystemCallFault::default()).expect("no fault");
     }
 }
 
@@ -130,7 +140,7 @@
     accepted.extend(submit_all(&relay, (0..10).map(|n| format!("during{n}")), list));
     mend_files(&faults);
     accepted.extend(submit_all(&relay, (0..30).map(|n| format!("after{n}")), list));
-    assert!(faults.injected(SystemCall::FileWrite).expect("a count") > 0);
+    assert!(faults.injected_count(SystemCall::FileWrite).expect("a count") > 0);
     assert!(accepted.len() >= 40, "{accepted:?}");
     relay.signal("KILL");
     drop(relay);
@@ -197,7 +207,7 @@
     assert_eq!(relay.submit("pay2", 5, "c=pay,d=15000,dest=7", b"x"), "+OK");
     break_writes(&faults);
     gate.open();
-    until("tries", || faults.injected(SystemCall::FileTruncate).expect("a count") >= 40);
+    until("tries", || faults.injected_count(SystemCall::FileTruncate).expect("a count") >= 40);
     assert!(endpoint.ids().is_empty(), "an attempt that may run once is not sent unrecorded");
     mend_files(&faults);
     until_within(ms(2_000), "the second message", || endpoint.ids() == ["pay2"]);
@@ -212,9 +222,9 @@
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
     let faults = fixture.faults();
     let relay = fixture.relay_with_faults(&faults);
-    let at_times = CallFault { errno, fail_rate: FULL_RATE / 3, ..CallFault::default() };
-    faults.set_call_fault(SystemCall::Send, at_times).expect("a fault");
-    faults.set_call_fault(SystemCall::Receive, at_times).expect("a fault");
+    let at_times = SystemCallFault { errno, fail_rate: FULL_RATE / 3, ..SystemCallFault::default() };
+    faults.set_system_call_fault(SystemCall::Send, at_times).expect("a fault");
+    faults.set_system_call_fault(SystemCall::Receive, at_times).expect("a fault");
     let ids: BTreeSet<String> = (0..40).map(|n| format!("m{n}")).collect();
     for id in &ids {
         assert_eq!(relay.submit(id, 0, "c=once,d=15000,dest=7", b"x"), "+OK", "{id}");
@@ -223,7 +233,7 @@
     assert_eq!(endpoint.ids().len(), ids.len(), "each once");
     assert!(fixture.platform.notifications().is_empty(), "{:?}", fixture.platform.notifications());
     assert!(!fixture.log().contains("Closed -> Open"), "no breaker opens");
-    assert!(faults.injected(SystemCall::Send).expect("a count") > 10);
+    assert!(faults.injected_count(SystemCall::Send).expect("a count") > 10);
 }
 
 // A configuration that can't be read for a moment after SIGHUP: nobody sends a second SIGHUP for it, and what discovery
@@ -238,11 +248,13 @@
     let next = Platform::start(0);
     next.set(members);
     fixture.write_discovery(next.server.address);
-    faults.set_call_fault(SystemCall::FileRead, CallFault::always(libc::EIO)).expect("a fault");
-    let failed_before = faults.injected(SystemCall::FileRead).expect("a count");
+    faults.set_system_call_fault(SystemCall::FileRead, SystemCallFault::always(libc::EIO)).expect("a fault");
+    let failed_before = faults.injected_count(SystemCall::FileRead).expect("a count");
     relay.signal("HUP");
-    until("a read that fails", || faults.injected(SystemCall::FileRead).expect("a count") > failed_before);
-    faults.set_call_fault(SystemCall::FileRead, CallFault::default()).expect("no fault");
+    until("a read that fails", || {
+        faults.injected_count(SystemCall::FileRead).expect("a count") > failed_before
+    });
+    faults.set_system_call_fault(SystemCall::FileRead, SystemCallFault::default()).expect("no fault");
     until_within(ms(3_000), "discovery to be asked at its new address", || {
         !next.server.requests().is_empty()
     });
@@ -271,7 +283,7 @@
 
 /// Nothing in the state folder can be opened.
 fn close_folder(faults: &FaultControl) {
-    faults.set_call_fault(SystemCall::FileOpen, CallFault::always(libc::EIO)).expect("a fault");
+    faults.set_system_call_fault(SystemCall::FileOpen, SystemCallFault::always(libc::EIO)).expect("a fault");
 }
 
 // A process that gives a folder up that fails for a while has not started at all, and nobody starts it again.
@@ -283,7 +295,7 @@
     close_folder(&faults);
     let mut relay = Relay::begin_with_faults(&fixture.config, fixture.dir.path(), &faults);
     assert_eq!(relay.code_within(ms(7_500)), None, "{}", fixture.log());
-    faults.set_call_fault(SystemCall::FileOpen, CallFault::default()).expect("no fault");
+    faults.set_system_call_fault(SystemCall::FileOpen, SystemCallFault::default()).expect("no fault");
     assert_eq!(relay.client().ask(b"*1\r\n$4\r\nPING\r\n"), "+PONG");
     assert_eq!(relay.submit("m1", 0, "c=any,d=8000,dest=7", b"x"), "+OK");
     until("the call", || endpoint.ids() == ["m1"]);
@@ -295,7 +307,7 @@
     let faults = fixture.faults();
     close_folder(&faults);
     let mut relay = Relay::begin_with_faults(&fixture.config, fixture.dir.path(), &faults);
-    until("the start to wait", || faults.injected(SystemCall::FileOpen).expect("a count") > 3);
+    until("the start to wait", || faults.injected_count(SystemCall::FileOpen).expect("a count") > 3);
     relay.signal("TERM");
     assert_eq!(relay.code_within(ms(3_600)), Some(0), "{}", fixture.log());
 }
@@ -310,14 +322,14 @@
     let faults = fixture.faults();
     let relay = fixture.relay_with_faults(&faults);
     until("the list", || fixture.log().contains("list 2:"));
-    faults.set_file_hold(ms(700)).expect("a hold");
+    faults.set_file_write_delay(ms(700)).expect("a hold");
     let mut client = relay.client();
     client.say(&submit_request("m1", 0, "c=once,d=15000,dest=7", b"x"));
-    until("the write", || faults.file_holds().expect("a count") >= held_write);
+    until("the write", || faults.delayed_file_writes().expect("a count") >= held_write);
     let mut draining = member("e1", leaving.address, 7, "single");
     draining["phase"] = "Terminating".into();
     fixture.platform.set(vec![draining, member("e2", other.address, 7, "single")]);
-    faults.set_file_hold(ms(0)).expect("no hold");
+    faults.set_file_write_delay(ms(0)).expect("no hold");
     assert_eq!(client.hear(), "+OK");
     until("the call elsewhere", || other.ids() == ["m1"]);
     assert!(leaving.ids().is_empty(), "sent though its endpoint was told to be draining");
--- a/crates/relay/tests/handover/failing_folder.rs
+++ b/crates/relay/tests/handover/failing_folder.rs
@@ -3,7 +3,7 @@
 use crate::process::Process;
 use crate::support::{client::*, *};
 use crate::upgrade::*;
-use mountshift_faults::{CallFault, FaultControl, SystemCall};
+use mountshift_faults::{FaultControl, SystemCall, SystemCallFault};
 use std::fs::File;
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -35,10 +35,10 @@
     let (of_active, of_successor) = (control("faults-0"), control("faults-1"));
     let set = |fault| {
         if struck != Struck::Successor {
-            of_active.set_call_fault(call, fault).expect("a fault");
+            of_active.set_system_call_fault(call, fault).expect("a fault");
         }
         if struck != Struck::Active {
-            of_successor.set_call_fault(call, fault).expect("a fault");
+            of_successor.set_system_call_fault(call, fault).expect("a fault");
         }
     };
     let mut active = fixture.start_with_faults(0, &of_active);
@@ -51,7 +51,7 @@
     // Read by the active process before its successor takes connections of the same socket.
     fixture.submit("behind", 0, "once");
     let _successor = fixture.start_with_faults(1, &of_successor);
-    set(CallFault::always(libc::EIO));
+    set(SystemCallFault::always(libc::EIO));
     active.signal("STOP");
     assert_eq!(fixture.answer_to("early", 6, "pay"), "-BUSY", "{call}, {struck:?}: the active process sends");
     active.signal("CONT");
@@ -64,7 +64,7 @@
     let hands_over = fixture.log().contains("hands over to the process beside it");
     assert!(!hands_over || answer == "-BUSY", "{call}, {struck:?}: the successor may accept");
     let accepted: &[&str] = if answer == "+OK" { &["late", "first", "second"] } else { &["first", "second"] };
-    set(CallFault::default());
+    set(SystemCallFault::default());
     until("the successor to accept", || fixture.answer_to("first", 6, "pay") == "+OK");
     fixture.gate.open();
     assert!(active.ended_within(ms(3_600)), "{call}, {struck:?}");
--- a/crates/relay/tests/handover/stale_marker.rs
+++ b/crates/relay/tests/handover/stale_marker.rs
@@ -2,7 +2,7 @@
 
 use crate::support::*;
 use crate::upgrade::*;
-use mountshift_faults::{CallFault, FaultControl, SystemCall};
+use mountshift_faults::{FaultControl, SystemCall, SystemCallFault};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::Duration;
@@ -22,12 +22,14 @@
     fixture.gate.open();
     let faults = FaultControl::create(&fixture.dir.path().join("faults")).expect("a control file");
     std::fs::write(fixture.dir.path().join("state/handing-over"), "").expect("a marker");
-    faults.set_call_fault(SystemCall::FileUnlink, CallFault::always(libc::EIO)).expect("a fault");
+    faults
+        .set_system_call_fault(SystemCall::FileUnlink, SystemCallFault::always(libc::EIO))
+        .expect("a fault");
     let active = fixture.start_with_faults(0, &faults);
     until_within(LONGER_THAN_A_START_WAITS * 2, "the active process to serve", || {
         fixture.log().contains("messages in its spool")
     });
-    faults.set_call_fault(SystemCall::FileUnlink, CallFault::default()).expect("no fault");
+    faults.set_system_call_fault(SystemCall::FileUnlink, SystemCallFault::default()).expect("no fault");
     fixture.submit("m1", 5, "pay");
     until("the active process to send", || fixture.endpoint.ids() == ["m1"]);
     let _successor = fixture.start(1);
--- a/crates/relay/tests/handover/successor.rs
+++ b/crates/relay/tests/handover/successor.rs
@@ -3,7 +3,7 @@
 use crate::support::{client::*, *};
 use crate::under_load::TIME_TO_DEADLINE;
 use crate::upgrade::*;
-use mountshift_faults::{CallFault, FaultControl, SystemCall};
+use mountshift_faults::{FaultControl, SystemCall, SystemCallFault};
 use mountshift_spool::Spool;
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -170,9 +170,11 @@
     let faults = FaultControl::create(&fixture.dir.path().join("faults")).expect("a control file");
     let _successor = fixture.start_with_faults(1, &faults);
     active.signal("STOP");
-    faults.set_call_fault(SystemCall::FileWrite, CallFault::always(libc::ENOSPC)).expect("a fault");
+    faults
+        .set_system_call_fault(SystemCall::FileWrite, SystemCallFault::always(libc::ENOSPC))
+        .expect("a fault");
     assert_eq!(fixture.answer_to("m1", 0, "once"), "-BUSY");
-    faults.set_call_fault(SystemCall::FileWrite, CallFault::default()).expect("no fault");
+    faults.set_system_call_fault(SystemCall::FileWrite, SystemCallFault::default()).expect("no fault");
     fixture.submit("m1", 0, "once");
     active.signal("KILL");
     fixture.owns(1);
--- a/crates/relay/tests/order_by_key.rs
+++ b/crates/relay/tests/order_by_key.rs
@@ -123,7 +123,7 @@
     let relay = fixture.relay_with_faults(&faults);
     let mut client = relay.client();
     if is_held_up {
-        faults.set_clock_hold(HELD_UP_FOR, HELD_UP_RATE).expect("holds");
+        faults.set_clock_read_delay(HELD_UP_FOR, HELD_UP_RATE).expect("holds");
     }
     for (n, case) in cases.iter().enumerate() {
         let list = |class: &str| format!("c={class},d={SHORT_DEADLINE_MS},dest={}", n + 1);
--- a/crates/relay/tests/relay/shared_ids.rs
+++ b/crates/relay/tests/relay/shared_ids.rs
@@ -1,7 +1,7 @@
 //! Two clients that hand in messages under one id.
 
 use crate::support::{client::*, discovery::*, process::*, server::*, *};
-use mountshift_faults::{CallFault, SystemCall};
+use mountshift_faults::{SystemCall, SystemCallFault};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::Duration;
@@ -69,7 +69,9 @@
     fixture.config["settings"]["quantum"] = LONG_STEP_US.into();
     let faults = fixture.faults();
     let relay = fixture.relay_with_faults(&faults);
-    faults.set_call_fault(SystemCall::FileWrite, CallFault::always(libc::ENOSPC)).expect("a fault");
+    faults
+        .set_system_call_fault(SystemCall::FileWrite, SystemCallFault::always(libc::ENOSPC))
+        .expect("a fault");
     let request = submit_request("m1", 5, "c=pay,d=12000,dest=7", b"own");
     let mut clients = [relay.client(), relay.client()];
     for client in &mut clients {
--- a/crates/soak/src/injection.rs
+++ b/crates/soak/src/injection.rs
@@ -7,7 +7,7 @@
 use crate::recorder::{Observation, Recorder};
 use crate::relay_process::{RelayProcess, UpgradeEnd};
 use crate::schedule::{FaultKind, Schedule, ScheduledFault};
-use mountshift_faults::{CallFault, FULL_RATE, SystemCall};
+use mountshift_faults::{FULL_RATE, SystemCall, SystemCallFault};
 use mountshift_invariants::ListedStatus;
 use rustix::process::Signal;
 use smol::Timer;
@@ -123,11 +123,11 @@
 
     async fn hold(&self, fault: &ScheduledFault, span: Duration) {
         for relay in self.struck_relays(fault) {
-            let _ = relay.faults.set_hold(HOLD, HOLD_RATE);
+            let _ = relay.faults.set_socket_write_delay(HOLD, HOLD_RATE);
         }
         Timer::after(span).await;
         for relay in self.struck_relays(fault) {
-            let _ = relay.faults.set_hold(Duration::ZERO, 0);
+            let _ = relay.faults.set_socket_write_delay(Duration::ZERO, 0);
         }
     }
 
@@ -144,7 +144,7 @@
         let relays = self.struck_relays(fault);
         for relay in &relays {
             for (call, how) in disk_faults(fault) {
-                let _ = relay.faults.set_call_fault(call, how);
+                let _ = relay.faults.set_system_call_fault(call, how);
             }
         }
         let end = upgrade_end(fault);
@@ -158,11 +158,11 @@
 
     async fn hold_clocks(&self, fault: &ScheduledFault, span: Duration) {
         for relay in self.struck_relays(fault) {
-            let _ = relay.faults.set_clock_hold(HOLD, CLOCK_HOLD_RATE);
+            let _ = relay.faults.set_clock_read_delay(HOLD, CLOCK_HOLD_RATE);
         }
         Timer::after(span).await;
         for relay in self.struck_relays(fault) {
-            let _ = relay.faults.set_clock_hold(Duration::ZERO, 0);
+            let _ = relay.faults.set_clock_read_delay(Duration::ZERO, 0);
         }
     }
 
@@ -197,7 +197,7 @@
                 relay.begin_self_kills();
             }
             for (call, how) in disk_faults(fault) {
-                let _ = relay.faults.set_call_fault(call, how);
+                let _ = relay.faults.set_system_call_fault(call, how);
             }
         }
         if fault.kind == FaultKind::DiskAtStart {
@@ -225,11 +225,12 @@
         let shortage = shortages[fault.amount as usize % shortages.len()];
         let locals = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS, libc::EAGAIN];
         let local = locals[fault.amount as usize / 4 % locals.len()];
-        let fails = |errno, fail_rate| CallFault { errno, fail_rate, ..CallFault::default() };
+        let fails = |errno, fail_rate| SystemCallFault { errno, fail_rate, ..SystemCallFault::default() };
         let watch = libc::ENOMEM;
         let passing = [libc::EINTR, libc::ENOBUFS, libc::ENOMEM];
         let passing = passing[fault.amount as usize % passing.len()];
-        let sends = CallFault { short_rate: INTERRUPTION_RATE, ..fails(passing, INTERRUPTION_RATE) };
+        let sends =
+            SystemCallFault { partial_write_rate: INTERRUPTION_RATE, ..fails(passing, INTERRUPTION_RATE) };
         let how = [
             (SystemCall::Accept, fails(shortage, SHORTAGE_RATE)),
             (SystemCall::Socket, fails(shortage, SHORTAGE_RATE)),
@@ -241,13 +242,13 @@
         ];
         for relay in self.struck_relays(fault) {
             for (call, how) in how {
-                let _ = relay.faults.set_call_fault(call, how);
+                let _ = relay.faults.set_system_call_fault(call, how);
             }
         }
         Timer::after(span).await;
         for relay in self.struck_relays(fault) {
             for (call, _) in how {
-                let _ = relay.faults.set_call_fault(call, CallFault::default());
+                let _ = relay.faults.set_system_call_fault(call, SystemCallFault::default());
             }
         }
     }
@@ -329,14 +330,24 @@
 }
 
 /// How the state folder fails.
-fn disk_faults(fault: &ScheduledFault) -> Vec<(SystemCall, CallFault)> {
+fn disk_faults(fault: &ScheduledFault) -> Vec<(SystemCall, SystemCallFault)> {
     let errno = if fault.amount % 2 == 0 { libc::ENOSPC } else { libc::EIO };
-    let half_cut = CallFault { errno, fail_rate: FULL_RATE, short_rate: FULL_RATE / 2, kill_rate: 0 };
-    let fails = CallFault::always(errno);
-    let at_times = CallFault { errno, fail_rate: SHORTAGE_RATE, ..CallFault::default() };
+    let half_cut = SystemCallFault {
+        errno,
+        fail_rate: FULL_RATE,
+        partial_write_rate: FULL_RATE / 2,
+        partial_write_kill_rate: 0,
+    };
+    let fails = SystemCallFault::always(errno);
+    let at_times = SystemCallFault { errno, fail_rate: SHORTAGE_RATE, ..SystemCallFault::default() };
     match fault.kind {
         FaultKind::TornKill => {
-            let torn = CallFault { errno, fail_rate: 0, short_rate: 0, kill_rate: FULL_RATE / 5 };
+            let torn = SystemCallFault {
+                errno,
+                fail_rate: 0,
+                partial_write_rate: 0,
+                partial_write_kill_rate: FULL_RATE / 5,
+            };
             vec![(SystemCall::FileWrite, torn)]
         }
         FaultKind::UpgradeDisk => vec![
@@ -354,12 +365,15 @@
             (SystemCall::FileRename, fails),
             (SystemCall::FileTruncate, fails),
             (SystemCall::FileUnlink, at_times),
-            (SystemCall::Bind, CallFault { errno: libc::EADDRINUSE, ..at_times }),
+            (SystemCall::Bind, SystemCallFault { errno: libc::EADDRINUSE, ..at_times }),
         ],
         _ => vec![
             (SystemCall::FileWrite, half_cut),
-            (SystemCall::FileTruncate, if fault.amount % 3 == 0 { fails } else { CallFault::default() }),
-            (SystemCall::FileRename, if fault.amount % 5 == 0 { fails } else { CallFault::default() }),
+            (
+                SystemCall::FileTruncate,
+                if fault.amount % 3 == 0 { fails } else { SystemCallFault::default() },
+            ),
+            (SystemCall::FileRename, if fault.amount % 5 == 0 { fails } else { SystemCallFault::default() }),
         ],
     }
 }
@@ -367,7 +381,7 @@
 fn mend_disk(relays: &[Arc<RelayProcess>], fault: &ScheduledFault) {
     for relay in relays {
         for (call, _) in disk_faults(fault) {
-            let _ = relay.faults.set_call_fault(call, CallFault::default());
+            let _ = relay.faults.set_system_call_fault(call, SystemCallFault::default());
         }
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -225,7 +225,7 @@
 
 fn injected(relays: &[Arc<RelayProcess>]) -> u64 {
     let calls = mountshift_faults::SystemCall::ALL;
-    let counts = relays.iter().flat_map(|relay| calls.iter().map(|call| relay.faults.injected(*call)));
+    let counts = relays.iter().flat_map(|relay| calls.iter().map(|call| relay.faults.injected_count(*call)));
     counts.map(|count| count.unwrap_or(0)).sum()
 }
 
