--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -25,16 +25,16 @@
 mod stop_plan;
 
 pub use error::HandoverError;
-pub use merge::{Side, merge};
+pub use merge::{SpoolOwner, merge};
 pub use role::{
-    ACTIVE_DISK_SHARE, BesideActive, EarlierSuccessor, HANDING_OVER_FILE, HOLD_MARGIN, LOCK_FILE,
-    LOCK_POLL_INTERVAL, MAX_HOLD, ORPHAN_CHECK_INTERVAL, Role, SUCCESSOR_DIR, SUCCESSOR_DISK_SHARE,
-    active_accepts, reads_snapshot, role, successor_accepts,
+    ACTIVE_DISK_SHARE, ActiveProcessState, DEADLINE_MARGIN, HANDING_OVER_FILE, LOCK_FILE, LOCK_POLL_INTERVAL,
+    MAX_TAKEOVER_DELAY, ORPHAN_CHECK_INTERVAL, PreviousSuccessor, Role, SUCCESSOR_DIR, SUCCESSOR_DISK_SHARE,
+    active_accepts, determine_role, reads_snapshot, successor_accepts,
 };
 pub use snapshot::{FORMAT, RouteRecord, SNAPSHOT_FILE, Snapshot};
 pub use start_plan::{
-    ESSENTIAL_PATIENCE, RELOAD_PATIENCE, RUNNING_SUCCESSOR_PATIENCE, SPOOL_WAIT, START_PATIENCE,
-    TAKEN_LOCK_PATIENCE,
+    LOCK_ACQUISITION_TIMEOUT, OPTIONAL_RESOURCE_TIMEOUT, RELOAD_RETRY_TIMEOUT, REQUIRED_RESOURCE_TIMEOUT,
+    SPOOL_OPEN_TIMEOUT, SUCCESSOR_TAKEOVER_TIMEOUT,
 };
 pub use stop_plan::{HANDOVER, RESTART, StopPlan, stop_plan};
 
--- a/crates/handover/src/merge.rs
+++ b/crates/handover/src/merge.rs
@@ -4,7 +4,7 @@
 
 /// Which spool a message comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum SpoolOwner {
     /// The active process's.
     Active,
     /// The successor's.
@@ -16,7 +16,7 @@
 /// of one key are submitted one after another, each once the one before was accepted, so this keeps every key's
 /// order. A successor's message whose id the active process holds already is left out: the one that came first
 /// stands.
-pub fn merge(active: &[(&[u8], u64)], successor: &[(&[u8], u64)]) -> Vec<(Side, usize)> {
+pub fn merge(active: &[(&[u8], u64)], successor: &[(&[u8], u64)]) -> Vec<(SpoolOwner, usize)> {
     let held: BTreeSet<&[u8]> = active.iter().map(|(id, _)| *id).collect();
     let new: Vec<usize> = (0..successor.len()).filter(|index| !held.contains(successor[*index].0)).collect();
     let mut order = Vec::with_capacity(active.len() + new.len());
@@ -29,10 +29,10 @@
             (None, _) => false,
         };
         if active_is_next {
-            order.push((Side::Active, next_active));
+            order.push((SpoolOwner::Active, next_active));
             next_active += 1;
         } else {
-            order.push((Side::Successor, new[next_new]));
+            order.push((SpoolOwner::Successor, new[next_new]));
             next_new += 1;
         }
     }
--- a/crates/handover/src/role.rs
+++ b/crates/handover/src/role.rs
@@ -17,9 +17,9 @@
 pub const ORPHAN_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// A successor holds a message for so long at most before it is active: the active process ends before its
 /// SIGKILL, which comes 3.7 s after its SIGTERM, and the SIGTERM follows once the successor says that it serves.
-pub const MAX_HOLD: Duration = Duration::from_millis(4_000);
+pub const MAX_TAKEOVER_DELAY: Duration = Duration::from_millis(4_000);
 /// A successor accepts a message only with so much more time left than it may hold it.
-pub const HOLD_MARGIN: Duration = Duration::from_millis(500);
+pub const DEADLINE_MARGIN: Duration = Duration::from_millis(500);
 /// The share of the folder's bytes for the active process's spool. What both shares leave is for small files, and
 /// for the spool of an active process of an older version that took all.
 pub const ACTIVE_DISK_SHARE: f64 = 0.6;
@@ -28,7 +28,7 @@
 
 /// What an active process finds of an earlier successor at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EarlierSuccessor {
+pub enum PreviousSuccessor {
     /// Nothing.
     None,
     /// It has ended and left messages in `next/`: they are this process's.
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It owns the spool and sends.
-    Active(EarlierSuccessor),
+    Active(PreviousSuccessor),
     /// Another process is active: this one accepts messages until the other's lock is free.
     Successor,
 }
@@ -51,15 +51,15 @@
 ///
 /// # Errors
 /// [`HandoverError::StateFolderTaken`] if other processes hold both locks.
-pub fn role(
+pub fn determine_role(
     active_lock_taken: bool,
     successor_lock_taken: bool,
     successor_spool_exists: bool,
 ) -> Result<Role, HandoverError> {
     match (active_lock_taken, successor_lock_taken) {
-        (true, true) if successor_spool_exists => Ok(Role::Active(EarlierSuccessor::LeftMessages)),
-        (true, true) => Ok(Role::Active(EarlierSuccessor::None)),
-        (true, false) => Ok(Role::Active(EarlierSuccessor::Running)),
+        (true, true) if successor_spool_exists => Ok(Role::Active(PreviousSuccessor::LeftMessages)),
+        (true, true) => Ok(Role::Active(PreviousSuccessor::None)),
+        (true, false) => Ok(Role::Active(PreviousSuccessor::Running)),
         (false, true) => Ok(Role::Successor),
         (false, false) => Err(HandoverError::StateFolderTaken),
     }
@@ -75,23 +75,23 @@
 
 /// What a successor knows of the active process beside it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BesideActive {
+pub struct ActiveProcessState {
     /// The active process says that it sends nothing new and takes no message in order.
-    pub hands_over: bool,
+    pub is_handing_over: bool,
     /// Both processes date what they store by one time line, so that their messages can be merged in order.
-    pub shares_time_line: bool,
+    pub has_shared_clock: bool,
 }
 
 /// True if a successor accepts a message with `left` until its deadline; else it is rejected, as it might expire
 /// while nobody may send it. One that has its place in the order of a key is accepted only where that place is certain:
 /// else the active process could send the next one of the key before it.
-pub fn successor_accepts(left: Duration, is_in_order: bool, active: BesideActive) -> bool {
-    let place_is_certain = active.hands_over && active.shares_time_line;
-    left > MAX_HOLD + HOLD_MARGIN && (!is_in_order || place_is_certain)
+pub fn successor_accepts(left: Duration, is_in_order: bool, active: ActiveProcessState) -> bool {
+    let place_is_certain = active.is_handing_over && active.has_shared_clock;
+    left > MAX_TAKEOVER_DELAY + DEADLINE_MARGIN && (!is_in_order || place_is_certain)
 }
 
 /// True if an active process accepts a message. From the handover on messages in order are its successor's, and beside a
 /// successor that has yet to end, which may have accepted earlier ones of the key, they wait for that end.
-pub fn active_accepts(is_in_order: bool, hands_over: bool, successor_may_hold_earlier: bool) -> bool {
-    !is_in_order || !(hands_over || successor_may_hold_earlier)
+pub fn active_accepts(is_in_order: bool, is_handing_over: bool, successor_may_hold_earlier: bool) -> bool {
+    !is_in_order || !(is_handing_over || successor_may_hold_earlier)
 }
--- a/crates/handover/src/snapshot.rs
+++ b/crates/handover/src/snapshot.rs
@@ -75,13 +75,13 @@
 
     /// True unless another process than the active one is known to have written it: that one ended long ago, but could not
     /// remove what an earlier process had left.
-    pub fn is_of(&self, active_process: Option<&str>) -> bool {
+    pub fn may_be_written_by(&self, active_process: Option<&str>) -> bool {
         active_process.is_none_or(|active| self.writer.as_deref() == Some(active))
     }
 
     /// What still binds at `now_ms`, Unix milliseconds: Retry-Afters that are over are dropped, and routes of
     /// which nothing is left.
-    pub fn binding(mut self, now_ms: u64) -> Snapshot {
+    pub fn without_expired(mut self, now_ms: u64) -> Snapshot {
         for route in &mut self.routes {
             if route.retry_after_until_ms <= now_ms {
                 route.retry_after_until_ms = 0;
--- a/crates/handover/src/stop_plan.rs
+++ b/crates/handover/src/stop_plan.rs
@@ -6,29 +6,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopPlan {
     /// New client connections are accepted for so long: the platform's load balancer still sends them.
-    pub accept_for: Duration,
+    pub accept_duration: Duration,
     /// New attempts are sent for so long ...
-    pub send_for: Duration,
+    pub send_duration: Duration,
     /// ... and it ends by then, whatever is still in flight.
-    pub end_by: Duration,
+    pub exit_timeout: Duration,
     /// It ends as soon as nothing is in flight and no client is left, though it holds messages.
-    pub hands_over: bool,
+    pub is_handover: bool,
 }
 
 /// A stop for a restart: SIGKILL may come 3.7 s after SIGTERM.
 pub const RESTART: StopPlan = StopPlan {
-    accept_for: Duration::from_millis(500),
-    send_for: Duration::from_millis(2_000),
-    end_by: Duration::from_millis(3_500),
-    hands_over: false,
+    accept_duration: Duration::from_millis(500),
+    send_duration: Duration::from_millis(2_000),
+    exit_timeout: Duration::from_millis(3_500),
+    is_handover: false,
 };
 /// A stop with a successor beside it: every new connection goes to the successor, every message it holds is the
 /// successor's once it has ended, and the sooner it ends the sooner these are sent.
 pub const HANDOVER: StopPlan = StopPlan {
-    accept_for: Duration::ZERO,
-    send_for: Duration::ZERO,
-    end_by: Duration::from_millis(3_300),
-    hands_over: true,
+    accept_duration: Duration::ZERO,
+    send_duration: Duration::ZERO,
+    exit_timeout: Duration::from_millis(3_300),
+    is_handover: true,
 };
 
 /// How to stop: a handover if a successor is there.
--- a/crates/handover/src/tests.rs
+++ b/crates/handover/src/tests.rs
@@ -1,24 +1,24 @@
 use super::*;
-use Side::{Active, Successor};
+use SpoolOwner::{Active, Successor};
 use std::time::Duration;
 
 #[test]
 fn the_role_follows_from_the_locks() {
-    let role_of = |active, successor, spool| role(active, successor, spool).expect("a role");
-    assert_eq!(role_of(true, true, false), Role::Active(EarlierSuccessor::None));
-    assert_eq!(role_of(true, true, true), Role::Active(EarlierSuccessor::LeftMessages));
+    let role_of = |active, successor, spool| determine_role(active, successor, spool).expect("a role");
+    assert_eq!(role_of(true, true, false), Role::Active(PreviousSuccessor::None));
+    assert_eq!(role_of(true, true, true), Role::Active(PreviousSuccessor::LeftMessages));
     // A successor that is still there keeps its messages until it is active.
-    assert_eq!(role_of(true, false, true), Role::Active(EarlierSuccessor::Running));
+    assert_eq!(role_of(true, false, true), Role::Active(PreviousSuccessor::Running));
     assert_eq!(role_of(false, true, true), Role::Successor);
-    assert!(matches!(role(false, false, false), Err(HandoverError::StateFolderTaken)));
+    assert!(matches!(determine_role(false, false, false), Err(HandoverError::StateFolderTaken)));
 }
 
 #[test]
 fn a_successor_accepts_only_what_has_time_left_beyond_its_longest_hold() {
-    for (is_in_order, hands_over) in [(false, false), (false, true), (true, true)] {
-        let active = BesideActive { hands_over, shares_time_line: true };
-        assert!(!successor_accepts(MAX_HOLD, is_in_order, active));
-        assert!(!successor_accepts(MAX_HOLD + HOLD_MARGIN, is_in_order, active));
+    for (is_in_order, is_handing_over) in [(false, false), (false, true), (true, true)] {
+        let active = ActiveProcessState { is_handing_over, has_shared_clock: true };
+        assert!(!successor_accepts(MAX_TAKEOVER_DELAY, is_in_order, active));
+        assert!(!successor_accepts(MAX_TAKEOVER_DELAY + DEADLINE_MARGIN, is_in_order, active));
         assert!(successor_accepts(Duration::from_secs(8), is_in_order, active));
     }
 }
@@ -27,11 +27,12 @@
 #[test]
 fn messages_in_order_are_accepted_by_one_process_at_a_time() {
     let long = Duration::from_secs(8);
-    for hands_over in [false, true] {
-        let successor =
-            |shares_time_line| successor_accepts(long, true, BesideActive { hands_over, shares_time_line });
-        assert_eq!((successor(true), successor(false)), (hands_over, false));
-        assert_ne!(active_accepts(true, hands_over, false), successor(true));
+    for is_handing_over in [false, true] {
+        let successor = |has_shared_clock| {
+            successor_accepts(long, true, ActiveProcessState { is_handing_over, has_shared_clock })
+        };
+        assert_eq!((successor(true), successor(false)), (is_handing_over, false));
+        assert_ne!(active_accepts(true, is_handing_over, false), successor(true));
     }
     assert!(!active_accepts(true, false, true), "an ending successor may hold earlier ones");
     assert!(active_accepts(false, true, true), "others have no place to keep");
@@ -41,15 +42,15 @@
 fn a_stop_with_a_successor_accepts_and_sends_nothing_more_and_leaves_what_it_holds() {
     let handover = stop_plan(true);
     assert_eq!(
-        (handover.accept_for, handover.send_for, handover.hands_over),
+        (handover.accept_duration, handover.send_duration, handover.is_handover),
         (Duration::ZERO, Duration::ZERO, true)
     );
-    assert!(handover.end_by < Duration::from_millis(3_700));
+    assert!(handover.exit_timeout < Duration::from_millis(3_700));
     let restart = stop_plan(false);
     assert!(
-        !restart.hands_over
-            && restart.send_for > Duration::ZERO
-            && restart.end_by < Duration::from_millis(3_700)
+        !restart.is_handover
+            && restart.send_duration > Duration::ZERO
+            && restart.exit_timeout < Duration::from_millis(3_700)
     );
 }
 
@@ -101,7 +102,7 @@
         written_ms: 0,
         routes: vec![route(1, 900, None), route(2, 1_100, None), route(3, 900, Some(5))],
     };
-    let kept = snapshot.binding(1_000);
+    let kept = snapshot.without_expired(1_000);
     assert_eq!(kept.routes, vec![route(2, 1_100, None), route(3, 0, Some(5))]);
 }
 
@@ -109,7 +110,7 @@
 fn only_a_successor_reads_what_the_active_process_left() {
     assert!(reads_snapshot(Role::Successor));
     assert!(
-        !reads_snapshot(Role::Active(EarlierSuccessor::None))
-            && !reads_snapshot(Role::Active(EarlierSuccessor::LeftMessages))
+        !reads_snapshot(Role::Active(PreviousSuccessor::None))
+            && !reads_snapshot(Role::Active(PreviousSuccessor::LeftMessages))
     );
 }
--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -258,7 +258,7 @@
     fn on_stop_requested(&mut self, plan: StopPlan, inputs: &mut Vec<Input>) {
         self.maintenance.borrow_mut().set_stopping();
         // A successor takes over what is held: nothing more is sent from here.
-        if plan.hands_over {
+        if plan.is_handover {
             self.hands_over = true;
             self.files.raise_handover_marker();
             info!("hands over to the process beside it");
--- a/crates/relay/src/dispatch/restore.rs
+++ b/crates/relay/src/dispatch/restore.rs
@@ -17,7 +17,7 @@
     /// Restores routes: a `Retry-After` and a slow start bind beyond a handover (rules 4 and 6).
     pub(super) fn restore_routes(&mut self, snapshot: Snapshot, inputs: &mut Vec<Input>) {
         let now_ms = self.clock.unix_ms(self.now);
-        let snapshot = snapshot.binding(now_ms);
+        let snapshot = snapshot.without_expired(now_ms);
         debug!("restores at {now_ms}: {}", snapshot.to_json());
         let mut restored = Vec::new();
         for route in &snapshot.routes {
--- a/crates/relay/src/dispatch/shutdown.rs
+++ b/crates/relay/src/dispatch/shutdown.rs
@@ -41,19 +41,19 @@
     /// True while the decisions go on. In a handover they do to the end, sending nothing: final answers that fall due
     /// are still given.
     pub(super) fn decides(self) -> bool {
-        self.elapsed < self.plan.send_for || self.plan.hands_over
+        self.elapsed < self.plan.send_duration || self.plan.is_handover
     }
 
     /// True once messages may be left in the spool for the next process.
     fn may_leave_messages(self) -> bool {
-        self.plan.hands_over || self.elapsed >= self.plan.send_for
+        self.plan.is_handover || self.elapsed >= self.plan.send_duration
     }
 }
 
 impl Dispatcher {
     /// True once the process can end, or has to.
     pub(super) fn is_done(&self, stop: StopProgress) -> bool {
-        if stop.elapsed >= stop.plan.end_by {
+        if stop.elapsed >= stop.plan.exit_timeout {
             return true;
         }
         let clients_gone = self.clients_leave.is_closed() && self.client_connections.get() == 0;
--- a/crates/relay/src/signals.rs
+++ b/crates/relay/src/signals.rs
@@ -11,7 +11,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt};
 use log::{error, info};
-use mountshift_handover::RELOAD_PATIENCE;
+use mountshift_handover::RELOAD_RETRY_TIMEOUT;
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -124,7 +124,7 @@
                 error!("the new configuration is not used: {error}; it is tried again for a while");
                 self.reload_pending_since = Some(Instant::now());
             }
-            Some(since) if since.elapsed() < RELOAD_PATIENCE => {}
+            Some(since) if since.elapsed() < RELOAD_RETRY_TIMEOUT => {}
             Some(_) => {
                 error!("the new configuration is given up: {error}");
                 self.reload_pending_since = None;
@@ -155,12 +155,12 @@
         self.is_stopping = true;
         let has_successor = self.is_active.get() && is_locked_by_another(&self.successor_path);
         let plan = mountshift_handover::stop_plan(has_successor);
-        let how = if plan.hands_over { "with a process beside it" } else { "for a restart" };
+        let how = if plan.is_handover { "with a process beside it" } else { "for a restart" };
         info!("told to stop, {how}");
         let _ = self.events.send(Event::StopRequested(plan)).await;
         let clients_leave = self.clients_leave.clone();
         let leave_later = async move {
-            Timer::after(plan.accept_for).await;
+            Timer::after(plan.accept_duration).await;
             clients_leave.close();
         };
         self.executor.spawn(leave_later).detach();
--- a/crates/relay/src/startup/opening.rs
+++ b/crates/relay/src/startup/opening.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use log::info;
-use mountshift_handover::SPOOL_WAIT;
+use mountshift_handover::SPOOL_OPEN_TIMEOUT;
 use std::time::Instant;
 
 /// Events that came before there was a dispatcher, in order.
@@ -79,19 +79,19 @@
     loop {
         let received = async { tasks.events.1.recv().await.ok() };
         let waited = async {
-            Timer::at(started + SPOOL_WAIT).await;
+            Timer::at(started + SPOOL_OPEN_TIMEOUT).await;
             None
         };
         let leaving = async {
             let _ = tasks.clients_leave.1.recv().await;
             None
         };
-        let is_late = started.elapsed() >= SPOOL_WAIT;
+        let is_late = started.elapsed() >= SPOOL_OPEN_TIMEOUT;
         let event = if is_late { received.or(leaving).await } else { received.or(waited).await };
         if let Some(event) = event {
             deferred.push(event);
         }
-        if started.elapsed() >= SPOOL_WAIT {
+        if started.elapsed() >= SPOOL_OPEN_TIMEOUT {
             deferred.reject_messages();
         }
         if tasks.clients_leave.1.is_closed() {
--- a/crates/relay/src/startup/patience.rs
+++ b/crates/relay/src/startup/patience.rs
@@ -2,7 +2,7 @@
 //! be ready. A fault that passes in that time must not end the process; one that tells of bad input ends it at once.
 
 use async_io::Timer;
-use mountshift_handover::{ESSENTIAL_PATIENCE, START_PATIENCE};
+use mountshift_handover::{OPTIONAL_RESOURCE_TIMEOUT, REQUIRED_RESOURCE_TIMEOUT};
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant};
 
@@ -42,7 +42,10 @@
     /// The patience of a process that starts now, or becomes the active one.
     pub(crate) fn of_start() -> Patience {
         let now = Instant::now();
-        Patience { ends_at: now + START_PATIENCE, essential_ends_at: now + ESSENTIAL_PATIENCE }
+        Patience {
+            ends_at: now + OPTIONAL_RESOURCE_TIMEOUT,
+            essential_ends_at: now + REQUIRED_RESOURCE_TIMEOUT,
+        }
     }
 
     /// Tries until it works, the error is one that does not pass, or the time is over; then the last error counts. Other
--- a/crates/relay/src/startup/spool.rs
+++ b/crates/relay/src/startup/spool.rs
@@ -15,7 +15,7 @@
 use async_channel::Sender;
 use log::{info, warn};
 use mountshift::interface::MessageId;
-use mountshift_handover::{ACTIVE_DISK_SHARE, EarlierSuccessor, Role, SUCCESSOR_DISK_SHARE, Side};
+use mountshift_handover::{ACTIVE_DISK_SHARE, PreviousSuccessor, Role, SUCCESSOR_DISK_SHARE, SpoolOwner};
 use mountshift_spool::{FinalOutcome, Spool, SpoolError, StoredMessage};
 use std::cell::Cell;
 use std::fs::File;
@@ -49,7 +49,7 @@
     match state_dir.role {
         Role::Active(earlier) => {
             let mut deferred_events = DeferredEvents::default();
-            let merge_successor = earlier == EarlierSuccessor::LeftMessages;
+            let merge_successor = earlier == PreviousSuccessor::LeftMessages;
             let opening = open_as_active(&opener, state_dir, tasks, merge_successor, stored_time);
             let spool = open_beside_clients(tasks, &mut deferred_events, opening).await?;
             Ok(spool.map(|spool| ActiveSpool { spool, deferred_events, stored_time, process_before: None }))
@@ -179,7 +179,7 @@
 impl SuccessorSpool {
     pub(crate) fn new(config: &StartConfig, state_dir: &StateDir) -> SuccessorSpool {
         let opener = SpoolOpener::new(config, state_dir);
-        let may_hold_earlier = state_dir.role == Role::Active(EarlierSuccessor::Running);
+        let may_hold_earlier = state_dir.role == Role::Active(PreviousSuccessor::Running);
         if may_hold_earlier {
             warn!(
                 "a successor of the process before still runs: messages in order are rejected until it ends"
@@ -296,8 +296,8 @@
     let mut merged = Vec::with_capacity(order.len());
     for (side, index) in order {
         let message = match side {
-            Side::Active => &accepted_by_active[index],
-            Side::Successor => &accepted_by_successor[index],
+            SpoolOwner::Active => &accepted_by_active[index],
+            SpoolOwner::Successor => &accepted_by_successor[index],
         };
         merged.push(message.clone());
     }
--- a/crates/relay/src/startup/state_dir.rs
+++ b/crates/relay/src/startup/state_dir.rs
@@ -4,7 +4,7 @@
 use crate::error::StartError;
 use async_io::Timer;
 use mountshift_handover::{
-    EarlierSuccessor, LOCK_FILE, RUNNING_SUCCESSOR_PATIENCE, Role, SUCCESSOR_DIR, TAKEN_LOCK_PATIENCE,
+    LOCK_ACQUISITION_TIMEOUT, LOCK_FILE, PreviousSuccessor, Role, SUCCESSOR_DIR, SUCCESSOR_TAKEOVER_TIMEOUT,
 };
 use std::fs::{File, TryLockError};
 use std::io;
@@ -43,18 +43,22 @@
             let successor = patience.retry_essential(|| try_lock(&successor_path)).await;
             let successor = successor.map_err(unusable(successor_path.join(LOCK_FILE)))?;
             let successor_spool_exists = successor_path.join(mountshift_spool::FILE_NAME).exists();
-            match mountshift_handover::role(active.acquired, successor.acquired, successor_spool_exists) {
+            match mountshift_handover::determine_role(
+                active.acquired,
+                successor.acquired,
+                successor_spool_exists,
+            ) {
                 // The successor takes the free lock in a moment, unless it is ending. Both locks go for that time.
-                Ok(Role::Active(EarlierSuccessor::Running))
+                Ok(Role::Active(PreviousSuccessor::Running))
                     if running_since.get_or_insert_with(Instant::now).elapsed()
-                        < RUNNING_SUCCESSOR_PATIENCE =>
+                        < SUCCESSOR_TAKEOVER_TIMEOUT =>
                 {
                     drop((active, successor));
                     Timer::after(TAKEN_LOCK_PAUSE).await;
                 }
                 Ok(role) => break (active, successor, role),
                 // One process may hold both: while it takes over, or takes up what a successor left.
-                Err(_) if started.elapsed() < TAKEN_LOCK_PATIENCE => {
+                Err(_) if started.elapsed() < LOCK_ACQUISITION_TIMEOUT => {
                     Timer::after(TAKEN_LOCK_PAUSE).await;
                 }
                 Err(e) => {
--- a/crates/relay/src/state_files.rs
+++ b/crates/relay/src/state_files.rs
@@ -106,7 +106,7 @@
         let text = self.read(SNAPSHOT_FILE, patience).await?;
         let path = self.dir.join(SNAPSHOT_FILE);
         match Snapshot::from_json(&text) {
-            Ok(snapshot) if snapshot.is_of(process_before) => Some(snapshot),
+            Ok(snapshot) if snapshot.may_be_written_by(process_before) => Some(snapshot),
             Ok(_) => {
                 info!("{}: not of the process before, left out", path.display());
                 None
--- a/crates/relay/src/successor.rs
+++ b/crates/relay/src/successor.rs
@@ -15,7 +15,7 @@
 use futures_lite::FutureExt;
 use log::{error, info, warn};
 use mountshift::interface::MessageId;
-use mountshift_handover::{BesideActive, LOCK_POLL_INTERVAL, RESTART, successor_accepts};
+use mountshift_handover::{ActiveProcessState, LOCK_POLL_INTERVAL, RESTART, successor_accepts};
 use mountshift_maintenance::{Change, MaintenanceState};
 use mountshift_spool::{AcceptedMessage, Spool};
 use std::cell::{Cell, RefCell};
@@ -174,10 +174,10 @@
         let time_left = message.metadata.time_to_deadline.saturating_sub(message.received_at.elapsed());
         let class = self.options.classes.iter().position(|class| *class == message.metadata.class);
         let is_in_order = class.is_some_and(|class| self.options.ordered_classes[class]) && message.key != 0;
-        let active = BesideActive {
+        let active = ActiveProcessState {
             // Asked each time: what the active process says ends with it.
-            hands_over: is_in_order && self.options.files.handing_over_process().is_some(),
-            shares_time_line: self.options.stored_time.is_shared(),
+            is_handing_over: is_in_order && self.options.files.handing_over_process().is_some(),
+            has_shared_clock: self.options.stored_time.is_shared(),
         };
         if !successor_accepts(time_left, is_in_order, active) {
             return Err(SubmissionReply::Rejected { retry_after_ms: 0 });
@@ -251,7 +251,7 @@
 
     /// True once a process that is told to stop can end, or has to. It does not become active any more.
     fn may_stop(&self) -> bool {
-        let is_late = self.stopping_since.is_some_and(|since| since.elapsed() >= RESTART.end_by);
+        let is_late = self.stopping_since.is_some_and(|since| since.elapsed() >= RESTART.exit_timeout);
         is_late || self.options.client_connections.get() == 0
     }
 
