--- a/crates/discovery/src/drain_record.rs
+++ b/crates/discovery/src/drain_record.rs
@@ -44,23 +44,23 @@
     /// The list's revision; those of one source grow.
     pub revision: u64,
     /// True if an endpoint that the list does not name was removed; false for a list of changes.
-    pub whole: bool,
+    pub is_full: bool,
     /// Now, Unix milliseconds.
     pub now_ms: u64,
 }
 
 /// What came of a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AppliedList {
+pub struct EffectivePhases {
     /// What each entry's phase is to be taken for, in the order of the entries.
     pub phases: Vec<Phase>,
     /// How many entries said ready of an endpoint that stays draining.
-    pub kept_draining: usize,
+    pub overridden_ready_count: usize,
 }
 
 /// A record as it was read from its text.
 #[derive(Debug)]
-pub struct ReadDrainRecord {
+pub struct ParsedDrainRecord {
     /// What could be read.
     pub record: DrainRecord,
     /// How many lines could not; each is left out by itself.
@@ -82,7 +82,7 @@
     /// grow; those of two can't be compared, so another source is believed only where it lists a change. An
     /// endpoint that started since was started to serve.
     fn is_over(&self, list: &ListHeader, entry: &ListEntry) -> bool {
-        let is_newer = if list.source == self.source { list.revision > self.revision } else { !list.whole };
+        let is_newer = if list.source == self.source { list.revision > self.revision } else { !list.is_full };
         is_newer || entry.up_since_ms > self.at_ms
     }
 
@@ -106,15 +106,16 @@
 
 impl DrainRecord {
     /// Applies a list; lists must be applied in the order in which they came.
-    pub fn apply(&mut self, list: &ListHeader, entries: &[ListEntry]) -> AppliedList {
-        if list.whole {
+    pub fn apply(&mut self, list: &ListHeader, entries: &[ListEntry]) -> EffectivePhases {
+        if list.is_full {
             self.record_absent(list, entries);
         }
-        let mut applied = AppliedList { phases: Vec::with_capacity(entries.len()), kept_draining: 0 };
+        let mut applied =
+            EffectivePhases { phases: Vec::with_capacity(entries.len()), overridden_ready_count: 0 };
         for entry in entries {
             let phase = self.apply_entry(list, entry);
             if entry.phase == Phase::Ready && phase != Phase::Ready {
-                applied.kept_draining += 1;
+                applied.overridden_ready_count += 1;
             }
             applied.phases.push(phase);
         }
@@ -186,7 +187,7 @@
     }
 
     /// Reads a record's text; an empty one is an empty record.
-    pub fn from_text(text: &str) -> ReadDrainRecord {
+    pub fn from_text(text: &str) -> ParsedDrainRecord {
         let mut record = DrainRecord::default();
         let mut unreadable_lines = 0;
         let mut lines = text.lines();
@@ -201,7 +202,7 @@
                 None => unreadable_lines += 1,
             }
         }
-        ReadDrainRecord { record, unreadable_lines }
+        ParsedDrainRecord { record, unreadable_lines }
     }
 
     /// How many endpoints are on record.
--- a/crates/discovery/src/drain_record_tests.rs
+++ b/crates/discovery/src/drain_record_tests.rs
@@ -3,8 +3,8 @@
 const A: &str = "10.2.0.1:8500";
 const B: &str = "10.2.0.1:8501";
 
-fn list(source: &str, revision: u64, whole: bool) -> ListHeader<'_> {
-    ListHeader { source, revision, whole, now_ms: 1_000 * revision }
+fn list(source: &str, revision: u64, is_full: bool) -> ListHeader<'_> {
+    ListHeader { source, revision, is_full, now_ms: 1_000 * revision }
 }
 
 fn entry(id: &str, phase: Phase) -> ListEntry<'_> {
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_drained_endpoint_stays_so_until_it_is_newly_listed() {
-    for (source, revision, whole, expected) in [
+    for (source, revision, is_full, expected) in [
         (A, 5, true, Draining),  // a stale whole list
         (A, 7, true, Draining),  // the same list again
         (A, 6, false, Draining), // a stale change
@@ -40,8 +40,8 @@
         (B, 90, true, Draining), // its revisions say nothing here
         (B, 3, false, Ready),    // a change that it lists
     ] {
-        let seen = apply(&mut drained_x(), &list(source, revision, whole), &[entry("x", Ready)]);
-        assert_eq!(seen, [expected], "{source} {revision} {whole}");
+        let seen = apply(&mut drained_x(), &list(source, revision, is_full), &[entry("x", Ready)]);
+        assert_eq!(seen, [expected], "{source} {revision} {is_full}");
     }
 }
 
@@ -51,12 +51,12 @@
     let old = ListEntry { id: "x", phase: Ready, up_since_ms: 6_999 };
     assert_eq!(
         record.apply(&list(B, 3, true), &[old]),
-        AppliedList { phases: vec![Draining], kept_draining: 1 }
+        EffectivePhases { phases: vec![Draining], overridden_ready_count: 1 }
     );
     let new = ListEntry { id: "x", phase: Ready, up_since_ms: 7_001 };
     assert_eq!(
         record.apply(&list(B, 3, false), &[new]),
-        AppliedList { phases: vec![Ready], kept_draining: 0 }
+        EffectivePhases { phases: vec![Ready], overridden_ready_count: 0 }
     );
     assert!(!record.drains.contains_key("x"));
 }
@@ -97,7 +97,7 @@
     let mut record = drained_x();
     let text = record.text_if_changed(10_000).expect("a change");
     assert_eq!(record.text_if_changed(10_000), None);
-    let ReadDrainRecord { record: mut again, unreadable_lines } = DrainRecord::from_text(&text);
+    let ParsedDrainRecord { record: mut again, unreadable_lines } = DrainRecord::from_text(&text);
     assert_eq!((again.len(), unreadable_lines), (1, 0));
     // A start's list, as the earlier process had it first.
     assert_eq!(
@@ -111,10 +111,10 @@
 
 #[test]
 fn unreadable_lines_are_left_out_one_by_one() {
-    let ReadDrainRecord { record, unreadable_lines } =
+    let ParsedDrainRecord { record, unreadable_lines } =
         DrainRecord::from_text("mountshift leaving 1\nx 7000 7 a:1\nhalf 70\n\u{0}\u{0}\ny 8 8 b:1\n");
     assert_eq!((record.len(), unreadable_lines), (2, 2));
-    let ReadDrainRecord { record, unreadable_lines } =
+    let ParsedDrainRecord { record, unreadable_lines } =
         DrainRecord::from_text("mountshift leaving 2\nx 7000 7 a:1\n");
     assert_eq!((record.len(), unreadable_lines), (1, 1));
     assert_eq!(DrainRecord::from_text("").unreadable_lines, 0);
@@ -130,7 +130,7 @@
     apply(&mut record, &list(A, 6_000, false), &[entry("no word", Gone), entry("", Gone)]);
     let text = record.text_if_changed(150_000).expect("a change");
     assert!(text.len() <= 150_000 && text.len() > 149_900, "{}", text.len());
-    let ReadDrainRecord { record: again, unreadable_lines } = DrainRecord::from_text(&text);
+    let ParsedDrainRecord { record: again, unreadable_lines } = DrainRecord::from_text(&text);
     assert_eq!(unreadable_lines, 0);
     // More than 1,024 of them, in the 3 MB folder of the platform's page.
     assert!(again.len() > 3_000, "{}", again.len());
--- a/crates/discovery/src/fleet_tests.rs
+++ b/crates/discovery/src/fleet_tests.rs
@@ -20,7 +20,7 @@
     let mut failures = vec![0; relays as usize];
     let mut received = vec![None; relays as usize];
     let first_polls =
-        jitters.iter_mut().enumerate().map(|(n, jitter)| (schedule.first_pause(jitter.draw()), n));
+        jitters.iter_mut().enumerate().map(|(n, jitter)| (schedule.initial_delay(jitter.sample()), n));
     let mut polls: std::collections::BTreeSet<(Duration, usize)> = first_polls.collect();
     let mut free_at = Duration::ZERO;
     while let Some((now, n)) = polls.pop_first().filter(|(at, _)| *at < end) {
@@ -35,7 +35,7 @@
         }
         failures[n] += 1;
         let known_at = if rejected { now } else { now + GIVE_UP_AFTER };
-        polls.insert((known_at + schedule.retry_pause(failures[n], None, jitters[n].draw()), n));
+        polls.insert((known_at + schedule.retry_delay(failures[n], None, jitters[n].sample()), n));
     }
     received
 }
@@ -75,17 +75,18 @@
 fn a_small_fleet_does_not_wait() {
     for relays in [1, 3, 6] {
         let schedule = PollSchedule { relay_count: relays, poll_interval: POLL_INTERVAL };
-        assert_eq!(schedule.first_pause(1.0), Duration::ZERO, "{relays}");
-        assert_eq!(schedule.retry_pause(1, None, 0.5), FIRST_PAUSE, "{relays}");
+        assert_eq!(schedule.initial_delay(1.0), Duration::ZERO, "{relays}");
+        assert_eq!(schedule.retry_delay(1, None, 0.5), FIRST_PAUSE, "{relays}");
     }
     // An interval out of range still lets every relay poll.
     let ages = PollSchedule { relay_count: 350, poll_interval: Duration::MAX };
     assert!(
-        ages.first_pause(1.0) < MAX_POLL_INTERVAL && ages.retry_pause(40, None, 1.0) < MAX_POLL_INTERVAL * 2
+        ages.initial_delay(1.0) < MAX_POLL_INTERVAL
+            && ages.retry_delay(40, None, 1.0) < MAX_POLL_INTERVAL * 2
     );
     // Nor do many where lists come unasked.
     assert_eq!(
-        PollSchedule { relay_count: 350, poll_interval: Duration::ZERO }.first_pause(1.0),
+        PollSchedule { relay_count: 350, poll_interval: Duration::ZERO }.initial_delay(1.0),
         Duration::ZERO
     );
 }
@@ -94,8 +95,8 @@
 #[test]
 fn no_pause_is_longer_than_the_rule_on_drains_allows() {
     let schedule = PollSchedule { relay_count: 100_000, poll_interval: POLL_INTERVAL };
-    assert!(schedule.first_pause(1.0) < POLL_INTERVAL);
+    assert!(schedule.initial_delay(1.0) < POLL_INTERVAL);
     assert!(
-        schedule.retry_pause(40, Some(Duration::from_secs(9_999)), 1.0) + GIVE_UP_AFTER < POLL_INTERVAL * 4
+        schedule.retry_delay(40, Some(Duration::from_secs(9_999)), 1.0) + GIVE_UP_AFTER < POLL_INTERVAL * 4
     );
 }
--- a/crates/discovery/src/jitter.rs
+++ b/crates/discovery/src/jitter.rs
@@ -10,8 +10,8 @@
         Jitter(seed)
     }
 
-    /// The next draw, in 0..1.
-    pub fn draw(&mut self) -> f64 {
+    /// The next sample, in 0..1.
+    pub fn sample(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -13,8 +13,8 @@
 mod poll_schedule;
 
 pub use drain_record::{
-    AppliedList, DRAIN_RECORD_DISK_SHARE, DRAIN_RECORD_FILE, DrainRecord, ListEntry, ListHeader, Phase,
-    ReadDrainRecord,
+    DRAIN_RECORD_DISK_SHARE, DRAIN_RECORD_FILE, DrainRecord, EffectivePhases, ListEntry, ListHeader,
+    ParsedDrainRecord, Phase,
 };
 pub use jitter::Jitter;
 pub use poll_schedule::{PollSchedule, PollTimeouts};
--- a/crates/discovery/src/poll_schedule.rs
+++ b/crates/discovery/src/poll_schedule.rs
@@ -48,7 +48,7 @@
     /// For so long discovery may wait for a change; zero if the answer is due at once.
     pub wait: Duration,
     /// The relay gives the poll up after this span.
-    pub give_up_after: Duration,
+    pub request_timeout: Duration,
 }
 
 impl PollSchedule {
@@ -69,15 +69,15 @@
     pub fn poll_timeouts(&self, up_to_date: bool) -> PollTimeouts {
         if up_to_date {
             let wait = self.poll_interval.clamp(MIN_WATCH_WAIT, MAX_WATCH_WAIT);
-            return PollTimeouts { wait, give_up_after: wait + WATCH_GRACE };
+            return PollTimeouts { wait, request_timeout: wait + WATCH_GRACE };
         }
         let lists_come_unasked = self.poll_interval.is_zero();
-        let give_up_after = if lists_come_unasked { LOCAL_POLL_TIMEOUT } else { POLL_TIMEOUT };
-        PollTimeouts { wait: Duration::ZERO, give_up_after }
+        let request_timeout = if lists_come_unasked { LOCAL_POLL_TIMEOUT } else { POLL_TIMEOUT };
+        PollTimeouts { wait: Duration::ZERO, request_timeout }
     }
 
     /// The pause before the first poll; `jitter` is in 0..1.
-    pub fn first_pause(&self, jitter: f64) -> Duration {
+    pub fn initial_delay(&self, jitter: f64) -> Duration {
         self.spread().mul_f64(jitter.clamp(0.0, 1.0))
     }
 
@@ -85,7 +85,7 @@
     /// `jitter` (in 0..1) over half to one and a half of it, so that relays that failed together come back apart;
     /// at least the `retry_after` of discovery, up to a bound. After a failed poll the rule on drains gives four
     /// times `poll_interval`, which is more than the longest of these pauses and the poll's time together.
-    pub fn retry_pause(&self, failures: u32, retry_after: Option<Duration>, jitter: f64) -> Duration {
+    pub fn retry_delay(&self, failures: u32, retry_after: Option<Duration>, jitter: f64) -> Duration {
         let doublings = failures.clamp(1, 16) - 1;
         let backoff = FIRST_PAUSE.saturating_mul(1 << doublings).min(MAX_PAUSE);
         let fleet_spread = if failures > 1 { self.spread() } else { self.spread() / 2 };
--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -172,8 +172,8 @@
         let moves = self.options.moves.clone();
         let moved = async { PollEnd::Moved(next_address(&moves).await) };
         // With jitter, or a fleet that failed at one moment would keep discovery full by polling together.
-        let draw = self.options.jitter.draw();
-        let pause = self.options.schedule.retry_pause(self.consecutive_failures, self.retry_after, draw);
+        let jitter = self.options.jitter.sample();
+        let pause = self.options.schedule.retry_delay(self.consecutive_failures, self.retry_after, jitter);
         let polled = async {
             self.wait_for_turn(pause).await;
             PollEnd::Answered(self.poll().await)
@@ -199,7 +199,7 @@
         let address = self.options.address;
         // The list held at first, or before a failed poll, may be old: what changed since is asked for at once.
         let may_wait = self.has_answered && self.options.revision.is_some();
-        let PollTimeouts { wait, give_up_after: timeout } = self.options.schedule.poll_timeouts(may_wait);
+        let PollTimeouts { wait, request_timeout: timeout } = self.options.schedule.poll_timeouts(may_wait);
         let path = match self.options.revision {
             Some(revision) => {
                 format!("/catalog/members?index={revision}&wait={}", wait.as_millis().max(1))
--- a/crates/relay/src/dispatch/endpoint_list.rs
+++ b/crates/relay/src/dispatch/endpoint_list.rs
@@ -5,7 +5,7 @@
 use crate::discovery::{EndpointEntry, EndpointList};
 use log::info;
 use mountshift::interface::*;
-use mountshift_discovery::{AppliedList, ListEntry, ListHeader};
+use mountshift_discovery::{EffectivePhases, ListEntry, ListHeader};
 use mountshift_maintenance::Change;
 
 impl DispatcherState {
@@ -37,13 +37,13 @@
     fn apply_drain_record(&mut self, list: &mut EndpointList) {
         let source = list.source.to_string();
         let now_ms = self.clock.unix_ms(self.now);
-        let header = ListHeader { source: &source, revision: list.revision, whole: list.is_full, now_ms };
+        let header = ListHeader { source: &source, revision: list.revision, is_full: list.is_full, now_ms };
         let entries: Vec<ListEntry> = list.entries.iter().map(drain_record_entry).collect();
-        let AppliedList { phases, kept_draining } = self.drain_record.apply(&header, &entries);
-        if kept_draining > 0 {
+        let EffectivePhases { phases, overridden_ready_count } = self.drain_record.apply(&header, &entries);
+        if overridden_ready_count > 0 {
             let revision = list.revision;
             info!(
-                "list {revision}: {kept_draining} entries say ready of endpoints told as leaving; they stay so"
+                "list {revision}: {overridden_ready_count} entries say ready of endpoints told as leaving; they stay so"
             );
         }
         for (entry, phase) in list.entries.iter_mut().zip(phases) {
--- a/crates/relay/src/state_files.rs
+++ b/crates/relay/src/state_files.rs
@@ -7,7 +7,7 @@
 use crate::startup::config::StartConfig;
 use crate::startup::patience::Patience;
 use log::{error, info};
-use mountshift_discovery::{DRAIN_RECORD_DISK_SHARE, DRAIN_RECORD_FILE, DrainRecord, ReadDrainRecord};
+use mountshift_discovery::{DRAIN_RECORD_DISK_SHARE, DRAIN_RECORD_FILE, DrainRecord, ParsedDrainRecord};
 use mountshift_handover::{FORMAT, RouteRecord, SNAPSHOT_FILE, Snapshot};
 use mountshift_maintenance::MaintenanceState;
 use std::cell::RefCell;
@@ -153,7 +153,7 @@
     /// still counts, and discovery is asked before anything is sent.
     pub(crate) async fn read_drain_record(&self, patience: &Patience) -> DrainRecord {
         let text = self.read(DRAIN_RECORD_FILE, patience).await.unwrap_or_default();
-        let ReadDrainRecord { record, unreadable_lines } = DrainRecord::from_text(&text);
+        let ParsedDrainRecord { record, unreadable_lines } = DrainRecord::from_text(&text);
         if unreadable_lines > 0 {
             let path = self.dir.join(DRAIN_RECORD_FILE);
             error!("{}: {unreadable_lines} lines can't be read and are left out", path.display());
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -28,14 +28,14 @@
 }
 
 pub(super) fn schedule_first_poll(state: &mut State) {
-    let pause = poll_schedule(state).first_pause(state.jitter.draw(0));
+    let pause = poll_schedule(state).initial_delay(state.jitter.draw(0));
     state.poll_at = state.settings.must_poll.then_some(pause);
 }
 
 pub(super) fn poll_failed(state: &mut State, retry_after: Option<Duration>) {
     state.poll_failures += 1;
     let jitter = state.jitter.draw(0);
-    let pause = poll_schedule(state).retry_pause(state.poll_failures, retry_after, jitter);
+    let pause = poll_schedule(state).retry_delay(state.poll_failures, retry_after, jitter);
     state.poll_at = state.settings.must_poll.then_some(state.now + pause);
 }
 
