--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -2,7 +2,7 @@
 //! are in maintenance, whether clients are sent away, when a client connection is closed. No I/O; times are spans
 //! since the relay's start.
 //!
-//! - [`parse_call`] reads a call, [`MaintenanceState`] answers it and keeps what it changed.
+//! - [`parse_request`] reads a call, [`MaintenanceState`] answers it and keeps what it changed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -10,10 +10,10 @@
 mod state;
 
 pub use call::{
-    Answer, CUT_SHORT, Call, HEAD_TIMEOUT, LATE, MAX_CALLERS, MAX_HEAD_BYTES, NOT_HTTP, TOO_LARGE,
-    WRITE_TIMEOUT, parse_call,
+    AdminRequest, AdminResponse, HEAD_TIMEOUT, HEAD_TOO_LARGE, INCOMPLETE_REQUEST, MAX_ADMIN_CONNECTIONS,
+    MAX_HEAD_BYTES, NOT_HTTP, REQUEST_TIMED_OUT, WRITE_TIMEOUT, parse_request,
 };
-pub use state::{ALL_CLOSE, Change, IDLE_CLOSE, MaintenanceState};
+pub use state::{Change, MaintenanceState, STANDBY_CLOSE_TIMEOUT, STANDBY_IDLE_TIMEOUT};
 
 #[cfg(test)]
 mod tests;
--- a/crates/maintenance/src/state.rs
+++ b/crates/maintenance/src/state.rs
@@ -1,13 +1,13 @@
 //! The maintenance in force: endpoints in maintenance, standby, and whether the process serves.
 
-use crate::call::{Answer, Call, answer};
+use crate::call::{AdminRequest, AdminResponse, answer};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// In standby, a client connection that waits so long for its next request is closed.
-pub const IDLE_CLOSE: Duration = Duration::from_millis(300);
+pub const STANDBY_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 /// In standby, every client connection is closed so long after the call, once what it waits for is answered.
-pub const ALL_CLOSE: Duration = Duration::from_millis(1_500);
+pub const STANDBY_CLOSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// What a call changed, for the host to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
     }
 
     /// A list named the endpoint: calls may name it from now on.
-    pub fn record_listed(&mut self, id: &str) {
+    pub fn record_listed_endpoint(&mut self, id: &str) {
         if !self.listed.contains(id) {
             self.listed.insert(id.to_string());
         }
@@ -82,34 +82,34 @@
     }
 
     /// True if `PING` at the clients' address says yes.
-    pub fn answers_ping(&self) -> bool {
+    pub fn should_answer_ping(&self) -> bool {
         self.standby_since.is_none() && !self.stopping
     }
 
     /// When a client connection that waits since `since` for its next request is closed; none if it isn't.
     pub fn idle_close_at(&self, since: Duration) -> Option<Duration> {
         let standby_since = self.standby_since?;
-        let idle_close_at = since.max(standby_since) + IDLE_CLOSE;
-        Some(idle_close_at.min(standby_since + ALL_CLOSE))
+        let idle_close_at = since.max(standby_since) + STANDBY_IDLE_TIMEOUT;
+        Some(idle_close_at.min(standby_since + STANDBY_CLOSE_TIMEOUT))
     }
 
     /// True if a client connection is closed once what it waits for is answered.
-    pub fn closes(&self, now: Duration) -> bool {
-        self.standby_since.is_some_and(|since| now >= since + ALL_CLOSE)
+    pub fn should_close_connections(&self, now: Duration) -> bool {
+        self.standby_since.is_some_and(|since| now >= since + STANDBY_CLOSE_TIMEOUT)
     }
 
     /// Carries out a call that came at `now`: its answer, and what the host has to do.
-    pub fn handle(&mut self, call: Call, now: Duration) -> (Answer, Change) {
+    pub fn handle(&mut self, call: AdminRequest, now: Duration) -> (AdminResponse, Change) {
         match call {
-            Call::Status => (self.status(), Change::None),
-            Call::Enter(id) => self.enter(id),
-            Call::Exit(id) => self.exit(id),
-            Call::Standby => (answer(200, "standby"), self.start_standby(now)),
-            Call::Active => (answer(200, "active"), self.end_standby()),
+            AdminRequest::Status => (self.status(), Change::None),
+            AdminRequest::Enter(id) => self.enter(id),
+            AdminRequest::Exit(id) => self.exit(id),
+            AdminRequest::Standby => (answer(200, "standby"), self.start_standby(now)),
+            AdminRequest::Active => (answer(200, "active"), self.end_standby()),
         }
     }
 
-    fn status(&self) -> Answer {
+    fn status(&self) -> AdminResponse {
         if self.stopping {
             answer(503, "stopping")
         } else if self.serving {
@@ -119,7 +119,7 @@
         }
     }
 
-    fn enter(&mut self, id: String) -> (Answer, Change) {
+    fn enter(&mut self, id: String) -> (AdminResponse, Change) {
         if !self.listed.contains(&id) {
             return (NEVER_LISTED, Change::None);
         }
@@ -129,7 +129,7 @@
         (answer(200, "out"), Change::EndpointOut(id))
     }
 
-    fn exit(&mut self, id: String) -> (Answer, Change) {
+    fn exit(&mut self, id: String) -> (AdminResponse, Change) {
         if !self.listed.contains(&id) {
             return (NEVER_LISTED, Change::None);
         }
@@ -157,4 +157,4 @@
 }
 
 /// Guards against an endpoint taken out under a name that was misspelt.
-const NEVER_LISTED: Answer = answer(404, "no endpoint of that id was listed");
+const NEVER_LISTED: AdminResponse = answer(404, "no endpoint of that id was listed");
--- a/crates/maintenance/src/tests.rs
+++ b/crates/maintenance/src/tests.rs
@@ -8,29 +8,35 @@
 
 #[test]
 fn calls_are_read_or_refused_with_a_4xx() {
-    assert_eq!(parse_call("GET", "/status"), Ok(Call::Status));
-    assert_eq!(parse_call("POST", "/maintenance/enter?target=e-3"), Ok(Call::Enter("e-3".into())));
-    assert_eq!(parse_call("POST", "/maintenance/exit?x=1&target=e-3"), Ok(Call::Exit("e-3".into())));
-    assert_eq!(parse_call("GET", "/standby").unwrap_err().code, 405);
-    assert_eq!(parse_call("POST", "/nothing").unwrap_err().code, 404);
-    assert_eq!(parse_call("POST", "/maintenance/enter").unwrap_err().code, 400);
-    assert_eq!(parse_call("POST", "/maintenance/enter?target=").unwrap_err().code, 400);
+    assert_eq!(parse_request("GET", "/status"), Ok(AdminRequest::Status));
+    assert_eq!(parse_request("POST", "/maintenance/enter?target=e-3"), Ok(AdminRequest::Enter("e-3".into())));
+    assert_eq!(
+        parse_request("POST", "/maintenance/exit?x=1&target=e-3"),
+        Ok(AdminRequest::Exit("e-3".into()))
+    );
+    assert_eq!(parse_request("GET", "/standby").unwrap_err().code, 405);
+    assert_eq!(parse_request("POST", "/nothing").unwrap_err().code, 404);
+    assert_eq!(parse_request("POST", "/maintenance/enter").unwrap_err().code, 400);
+    assert_eq!(parse_request("POST", "/maintenance/enter?target=").unwrap_err().code, 400);
 }
 
 #[test]
 fn an_endpoint_never_listed_is_refused_and_repeats_are_harmless() {
     let mut maintenance = MaintenanceState::default();
-    let (no, _) = maintenance.handle(Call::Enter("a".into()), ms(0));
+    let (no, _) = maintenance.handle(AdminRequest::Enter("a".into()), ms(0));
     assert_eq!(no.code, 404);
-    maintenance.record_listed("a");
+    maintenance.record_listed_endpoint("a");
     assert_eq!(
-        maintenance.handle(Call::Enter("a".into()), ms(0)),
+        maintenance.handle(AdminRequest::Enter("a".into()), ms(0)),
         (answer(200, "out"), Change::EndpointOut("a".into()))
     );
-    assert_eq!(maintenance.handle(Call::Enter("a".into()), ms(1)).1, Change::None);
+    assert_eq!(maintenance.handle(AdminRequest::Enter("a".into()), ms(1)).1, Change::None);
     assert!(maintenance.is_in_maintenance("a"));
-    assert_eq!(maintenance.handle(Call::Exit("a".into()), ms(2)).1, Change::EndpointBack("a".into()));
-    assert_eq!(maintenance.handle(Call::Exit("a".into()), ms(3)), (answer(200, "was not out"), Change::None));
+    assert_eq!(maintenance.handle(AdminRequest::Exit("a".into()), ms(2)).1, Change::EndpointBack("a".into()));
+    assert_eq!(
+        maintenance.handle(AdminRequest::Exit("a".into()), ms(3)),
+        (answer(200, "was not out"), Change::None)
+    );
     assert!(!maintenance.is_in_maintenance("a"));
 }
 
@@ -38,35 +44,37 @@
 fn endpoints_in_maintenance_outlive_the_process_by_their_text() {
     let mut maintenance = MaintenanceState::default();
     for id in ["b", "a"] {
-        maintenance.record_listed(id);
+        maintenance.record_listed_endpoint(id);
     }
-    maintenance.handle(Call::Enter("b".into()), ms(0));
-    maintenance.handle(Call::Enter("a".into()), ms(0));
+    maintenance.handle(AdminRequest::Enter("b".into()), ms(0));
+    maintenance.handle(AdminRequest::Enter("a".into()), ms(0));
     let mut again = MaintenanceState::from_text(&maintenance.to_text());
     assert!(again.is_in_maintenance("a") && again.is_in_maintenance("b"));
     // Known from before, so it may be put back before any list came.
-    assert_eq!(again.handle(Call::Exit("a".into()), ms(0)).0.code, 200);
+    assert_eq!(again.handle(AdminRequest::Exit("a".into()), ms(0)).0.code, 200);
 }
 
 #[test]
 fn standby_sends_clients_away_and_lets_connections_go() {
     let mut maintenance = MaintenanceState::default();
-    assert_eq!(maintenance.handle(Call::Status, ms(0)).0.code, 503);
+    assert_eq!(maintenance.handle(AdminRequest::Status, ms(0)).0.code, 503);
     maintenance.set_serving();
-    assert_eq!(maintenance.handle(Call::Status, ms(0)).0.code, 200);
-    assert!(maintenance.answers_ping() && maintenance.idle_close_at(ms(0)).is_none());
-    assert_eq!(maintenance.handle(Call::Standby, ms(1_000)).1, Change::Standby);
-    assert!(!maintenance.answers_ping());
-    // An old idle one goes soon after the call, a busy one after its own wait, none later than ALL_CLOSE.
-    assert_eq!(maintenance.idle_close_at(ms(0)), Some(ms(1_000) + IDLE_CLOSE));
-    assert_eq!(maintenance.idle_close_at(ms(1_100)), Some(ms(1_100) + IDLE_CLOSE));
-    assert_eq!(maintenance.idle_close_at(ms(2_400)), Some(ms(1_000) + ALL_CLOSE));
-    assert!(!maintenance.closes(ms(2_000)) && maintenance.closes(ms(2_500)));
-    assert_eq!(maintenance.handle(Call::Active, ms(3_000)).1, Change::Active);
-    assert!(maintenance.answers_ping() && !maintenance.closes(ms(9_000)));
+    assert_eq!(maintenance.handle(AdminRequest::Status, ms(0)).0.code, 200);
+    assert!(maintenance.should_answer_ping() && maintenance.idle_close_at(ms(0)).is_none());
+    assert_eq!(maintenance.handle(AdminRequest::Standby, ms(1_000)).1, Change::Standby);
+    assert!(!maintenance.should_answer_ping());
+    // An old idle one goes soon after the call, a busy one after its own wait, none later than STANDBY_CLOSE_TIMEOUT.
+    assert_eq!(maintenance.idle_close_at(ms(0)), Some(ms(1_000) + STANDBY_IDLE_TIMEOUT));
+    assert_eq!(maintenance.idle_close_at(ms(1_100)), Some(ms(1_100) + STANDBY_IDLE_TIMEOUT));
+    assert_eq!(maintenance.idle_close_at(ms(2_400)), Some(ms(1_000) + STANDBY_CLOSE_TIMEOUT));
+    assert!(
+        !maintenance.should_close_connections(ms(2_000)) && maintenance.should_close_connections(ms(2_500))
+    );
+    assert_eq!(maintenance.handle(AdminRequest::Active, ms(3_000)).1, Change::Active);
+    assert!(maintenance.should_answer_ping() && !maintenance.should_close_connections(ms(9_000)));
     maintenance.set_stopping();
-    assert!(!maintenance.answers_ping());
-    assert_eq!(maintenance.handle(Call::Status, ms(9_000)).0.code, 503);
+    assert!(!maintenance.should_answer_ping());
+    assert_eq!(maintenance.handle(AdminRequest::Status, ms(9_000)).0.code, 503);
 }
 
 #[test]
@@ -77,7 +85,7 @@
     assert!(!maintenance.is_in_maintenance("e1") && maintenance.is_in_maintenance("e3"));
     // An endpoint that was in maintenance elsewhere may be put back here.
     assert_eq!(
-        maintenance.handle(Call::Exit("e3".into()), Duration::ZERO).1,
+        maintenance.handle(AdminRequest::Exit("e3".into()), Duration::ZERO).1,
         Change::EndpointBack("e3".into())
     );
 }
--- a/crates/relay/src/admin.rs
+++ b/crates/relay/src/admin.rs
@@ -10,8 +10,8 @@
 use futures_lite::{AsyncReadExt, FutureExt};
 use log::{info, warn};
 use mountshift_maintenance::{
-    Answer, CUT_SHORT, Change, HEAD_TIMEOUT, LATE, MAX_CALLERS, MAX_HEAD_BYTES, MaintenanceState, NOT_HTTP,
-    TOO_LARGE, WRITE_TIMEOUT, parse_call,
+    AdminResponse, Change, HEAD_TIMEOUT, HEAD_TOO_LARGE, INCOMPLETE_REQUEST, MAX_ADMIN_CONNECTIONS,
+    MAX_HEAD_BYTES, MaintenanceState, NOT_HTTP, REQUEST_TIMED_OUT, WRITE_TIMEOUT, parse_request,
 };
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
     /// Adds a connection; gives its number, and what closes when it is to go. Callers that say nothing must not keep
     /// others out: the one that came first makes room.
     fn add(&mut self) -> (u64, Receiver<()>) {
-        while self.open.len() >= MAX_CALLERS {
+        while self.open.len() >= MAX_ADMIN_CONNECTIONS {
             if let Some((_, dismiss)) = self.open.pop_first() {
                 dismiss.close();
             }
@@ -99,7 +99,7 @@
     async fn answer(&self, stream: &Async<TcpStream>, dismissed: Receiver<()>) -> Response {
         let sent_away = async {
             let _ = dismissed.recv().await;
-            LATE.into()
+            REQUEST_TIMED_OUT.into()
         };
         self.handle_command(stream).or(sent_away).await
     }
@@ -109,7 +109,7 @@
         let due = Instant::now() + HEAD_TIMEOUT;
         let too_late = async {
             Timer::at(due).await;
-            Err(LATE)
+            Err(REQUEST_TIMED_OUT)
         };
         let head = match read_head(stream).or(too_late).await {
             Ok(head) => head,
@@ -118,7 +118,7 @@
         if head.method == "GET" && head.target == METRICS_TARGET {
             return Response { code: METRICS_CODE, content_type: METRICS_TYPE, body: self.metrics.to_text() };
         }
-        let command = match parse_call(&head.method, &head.target) {
+        let command = match parse_request(&head.method, &head.target) {
             Ok(command) => command,
             Err(answer) => return answer.into(),
         };
@@ -139,8 +139,8 @@
     body: String,
 }
 
-impl From<Answer> for Response {
-    fn from(answer: Answer) -> Response {
+impl From<AdminResponse> for Response {
+    fn from(answer: AdminResponse) -> Response {
         Response { code: answer.code, content_type: "text/plain", body: format!("{}\n", answer.text) }
     }
 }
@@ -152,7 +152,7 @@
 }
 
 /// Reads a whole head; a 4xx answer for what is not HTTP or too large.
-async fn read_head(mut stream: &Async<TcpStream>) -> Result<RequestHead, Answer> {
+async fn read_head(mut stream: &Async<TcpStream>) -> Result<RequestHead, AdminResponse> {
     let mut buffer = Vec::new();
     let mut chunk = [0; READ_CHUNK_BYTES];
     loop {
@@ -162,23 +162,23 @@
                 transient::pause().await;
                 continue;
             }
-            Err(_) => return Err(CUT_SHORT),
+            Err(_) => return Err(INCOMPLETE_REQUEST),
         };
         if count == 0 {
-            return Err(CUT_SHORT);
+            return Err(INCOMPLETE_REQUEST);
         }
         buffer.extend(&chunk[..count]);
         if let Some(head) = parse_head(&buffer)? {
             return Ok(head);
         }
         if buffer.len() > MAX_HEAD_BYTES {
-            return Err(TOO_LARGE);
+            return Err(HEAD_TOO_LARGE);
         }
     }
 }
 
 /// The head at the beginning of the bytes; none while it is not whole.
-fn parse_head(bytes: &[u8]) -> Result<Option<RequestHead>, Answer> {
+fn parse_head(bytes: &[u8]) -> Result<Option<RequestHead>, AdminResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(bytes) {
--- a/crates/relay/src/clients/connection.rs
+++ b/crates/relay/src/clients/connection.rs
@@ -294,7 +294,8 @@
             self.waiting_since = Instant::now();
         }
         // In standby a connection ends once it is owed nothing, and none is held long after the operators' call.
-        let standby = service.config.maintenance.borrow().closes(service.config.start.elapsed());
+        let standby =
+            service.config.maintenance.borrow().should_close_connections(service.config.start.elapsed());
         if standby && self.buffer.is_empty() && !has_more && !self.has_input() {
             return Err(CloseReason::Standby);
         }
@@ -451,7 +452,7 @@
             (service.config.submit)(submission, sender);
             Reply::Pending(pending)
         }
-        Ok(Command::Ping) if !service.config.maintenance.borrow().answers_ping() => {
+        Ok(Command::Ping) if !service.config.maintenance.borrow().should_answer_ping() => {
             Reply::Line(protocol::error_line("standby"))
         }
         Ok(Command::Ping) => Reply::Line("+PONG\r\n".to_string()),
--- a/crates/relay/src/dispatch/endpoint_list.rs
+++ b/crates/relay/src/dispatch/endpoint_list.rs
@@ -16,7 +16,7 @@
             inputs.push(Input::FullListBegins);
         }
         for entry in &list.entries {
-            self.maintenance.borrow_mut().record_listed(&entry.id);
+            self.maintenance.borrow_mut().record_listed_endpoint(&entry.id);
             // Rule 1: an endpoint gets the messages of its own destination alone.
             if let Some(retired) = self.endpoints.retire_if_another(entry) {
                 self.idle_connections.close_endpoint(retired);
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -128,7 +128,7 @@
 ) -> MaintenanceState {
     let mut maintenance = MaintenanceState::from_text(&files.read_maintenance(patience).await);
     for entry in initial_list.iter().flat_map(|list| &list.entries) {
-        maintenance.record_listed(&entry.id);
+        maintenance.record_listed_endpoint(&entry.id);
     }
     maintenance
 }
--- a/crates/relay/src/successor.rs
+++ b/crates/relay/src/successor.rs
@@ -226,7 +226,7 @@
 
     fn on_endpoint_list(&mut self, list: EndpointList) {
         for entry in &list.entries {
-            self.options.maintenance.borrow_mut().record_listed(&entry.id);
+            self.options.maintenance.borrow_mut().record_listed_endpoint(&entry.id);
         }
         self.deferred_events.push(Event::EndpointList(Ok(list)));
     }
