--- a/crates/relay/src/clients/submission.rs
+++ b/crates/relay/src/clients/submission.rs
@@ -167,8 +167,8 @@
         let destination = number_field(text, "dest").ok_or(SubmissionError::MissingDestination)?;
         let deadline_ms = number_field(text, "d").ok_or(SubmissionError::MissingDeadline)?;
         Ok(SubmissionMetadata {
-            class: mountshift_settings::plain(class),
-            tenant: field(text, "t").map(mountshift_settings::plain),
+            class: mountshift_settings::normalize_name(class),
+            tenant: field(text, "t").map(mountshift_settings::normalize_name),
             destination,
             time_to_deadline: Duration::from_millis(deadline_ms.into()),
             idempotency_key: field(text, "k").filter(|key| fits_header(key)).map(str::to_string),
--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -63,8 +63,8 @@
     Some(EndpointEntry {
         id: text("id")?.to_string(),
         address: text("host_port")?.parse().ok()?,
-        zone: mountshift_settings::plain(text("locality")?),
-        kind: mountshift_settings::plain(text("flavor")?),
+        zone: mountshift_settings::normalize_name(text("locality")?),
+        kind: mountshift_settings::normalize_name(text("flavor")?),
         dst: u32::try_from(json["cell"].as_u64()?).ok()?,
         phase,
         size: json["size"].as_f64().unwrap_or(0.0),
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -11,7 +11,7 @@
 pub struct FlatSettings(BTreeMap<String, String>);
 
 /// A name as it stands in a list of names: spaces and commas are underscores.
-pub fn plain(name: &str) -> String {
+pub fn normalize_name(name: &str) -> String {
     name.replace([' ', ','], "_")
 }
 
@@ -136,7 +136,7 @@
 }
 
 fn json_text(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), plain)
+    value.as_str().map_or_else(|| value.to_string(), normalize_name)
 }
 
 fn parse<T: FromStr>(path: &str, text: &str) -> Result<T, SettingsError> {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,6 +13,6 @@
 mod socket;
 
 pub use error::SettingsError;
-pub use flat::{FlatSettings, plain};
+pub use flat::{FlatSettings, normalize_name};
 pub use policy::{policy_settings, relay_id};
 pub use socket::{RateLimitField, SocketSettings, rate_limit_field, socket_settings};
