--- a/crates/relay/src/dispatch/calls.rs
+++ b/crates/relay/src/dispatch/calls.rs
@@ -335,7 +335,7 @@
                 guard.measure_rest(&spool, attempt.message, now);
             }
             let numbers: Vec<u64> = attempts.iter().map(|attempt| attempt.message.0).collect();
-            if spool.record_attempts_now(&numbers, &zone, at_ms).is_ok() {
+            if spool.record_and_commit_attempts(&numbers, &zone, at_ms).is_ok() {
                 return Ok(());
             }
             if attempts.iter().any(|attempt| attempt.needs_record) {
--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -206,7 +206,7 @@
             self.calls_in_flight.remove(&number);
         }
         if run == RunState::NeverRan && is_recorded {
-            self.spool.borrow_mut().record_not_run(message.0);
+            self.spool.borrow_mut().record_not_processed(message.0);
         }
         if run == RunState::MayBeRunning {
             self.note_key_rest(number, message, outcome);
--- a/crates/relay/src/dispatch/shutdown.rs
+++ b/crates/relay/src/dispatch/shutdown.rs
@@ -119,7 +119,7 @@
             }
             call.task = None;
             for message in &call.messages {
-                self.spool.borrow_mut().record_not_run(message.0);
+                self.spool.borrow_mut().record_not_processed(message.0);
             }
         }
     }
--- a/crates/spool/src/log_file.rs
+++ b/crates/spool/src/log_file.rs
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// If the file can't be written: then no attempt is recorded, now or later.
-    pub fn record_attempts_now(&mut self, numbers: &[u64], zone: &str, at: u64) -> io::Result<()> {
+    pub fn record_and_commit_attempts(&mut self, numbers: &[u64], zone: &str, at: u64) -> io::Result<()> {
         let pending_before = self.pending.len();
         for number in numbers {
             self.record_attempt(*number, zone, at);
@@ -171,7 +171,7 @@
     }
 
     /// Records that the last attempt was not processed.
-    pub fn record_not_run(&mut self, number: u64) {
+    pub fn record_not_processed(&mut self, number: u64) {
         let last = self.messages.get_mut(&number).and_then(|message| message.attempts.last_mut());
         if let Some(attempt) = last {
             attempt.may_have_run = false;
--- a/crates/spool/tests/spool.rs
+++ b/crates/spool/tests/spool.rs
@@ -40,7 +40,7 @@
     let n: Vec<u64> =
         ["a", "b", "c", "d"].iter().map(|id| spool.accept(accepted(id, 300)).expect("room")).collect();
     spool.record_attempt(n[0], "north", 10);
-    spool.record_not_run(n[0]);
+    spool.record_not_processed(n[0]);
     spool.record_attempt(n[0], "north", 20);
     spool.record_outcome(n[1], FinalOutcome::Rejected(500));
     spool.record_outcome(n[3], FinalOutcome::Failed);
