--- a/crates/cli/src/lab/hunt.rs
+++ b/crates/cli/src/lab/hunt.rs
@@ -50,16 +50,16 @@
     } else {
         format!("top {:.3}, {} breaches", badness.top, badness.broken)
     };
-    let (troubles_before, troubles_after) = found.troubles;
+    let (troubles_before, troubles_after) = found.faults;
     println!(
         "{} scripts tried. The worst, cut down from {troubles_before} troubles to {troubles_after}, seed {}: \
          service {:.3}, {what_was_found}",
         found.tried, found.seed, badness.service
     );
-    for trouble in &found.scenario.troubles {
-        let trouble = trouble.as_ref();
-        let from = String::from(trouble.from);
-        let to = String::from(trouble.to);
-        println!("  {} of {} from {from} to {to}", trouble.kind, trouble.who.join(", "));
+    for fault in &found.scenario.faults {
+        let fault = fault.as_ref();
+        let from = String::from(fault.from);
+        let to = String::from(fault.to);
+        println!("  {} of {} from {from} to {to}", fault.kind, fault.targets.join(", "));
     }
 }
--- a/crates/cli/src/lab/list.rs
+++ b/crates/cli/src/lab/list.rs
@@ -4,7 +4,7 @@
 use crate::Verdict;
 use crate::error::CliError;
 use clap::Args;
-use mountshift_scenario::{Scenario, TroubleKind};
+use mountshift_scenario::{Scenario, ScriptedFaultKind};
 use std::path::{Path, PathBuf};
 
 #[derive(Args)]
@@ -28,10 +28,10 @@
 }
 
 fn show_troubles() {
-    for kind in TroubleKind::ALL {
-        let (strikes, description) = kind.strikes();
-        let strikes = format!("{strikes:?}").to_lowercase();
-        println!("{kind:16} {strikes:9} {description}");
+    for kind in ScriptedFaultKind::ALL {
+        let (target_kind, description) = kind.target_kind_and_description();
+        let target_kind = format!("{target_kind:?}").to_lowercase();
+        println!("{kind:16} {target_kind:9} {description}");
     }
 }
 
@@ -46,6 +46,9 @@
 
 fn show_scenario(scenario: &Scenario) {
     let relays = scenario.relays.count;
-    let destinations = scenario.destinations();
-    println!("{:22} {relays:>4} relays {destinations:>6} destinations  {}", scenario.name, scenario.about);
+    let destinations = scenario.destination_count();
+    println!(
+        "{:22} {relays:>4} relays {destinations:>6} destinations  {}",
+        scenario.name, scenario.description
+    );
 }
--- a/crates/cli/src/lab/run.rs
+++ b/crates/cli/src/lab/run.rs
@@ -67,7 +67,7 @@
 }
 
 fn show_days(scenario: &Scenario, days: &[DayOutcome], elapsed: Duration) {
-    println!("{}: {}", scenario.name, scenario.about);
+    println!("{}: {}", scenario.name, scenario.description);
     println!(
         "  {:14} {:26} {:>8} {:>9} {:>6} {:>9} {:>7}  rules",
         "policy", "service [95%]", "worst 10", "of top", "legs", "into out", "pushed"
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -9,11 +9,11 @@
 mod discovery;
 mod endpoints;
 mod events;
+mod faults;
 mod outages;
 mod relays;
 mod replacement;
 mod trace;
-mod troubles;
 
 use self::calls::Call;
 use self::clients::{MessageState, RequestProgress};
@@ -99,7 +99,7 @@
     /// Troubles that now cut relays off from endpoints.
     partitions: Vec<usize>,
     /// Number of troubles that now hold back updates of the list.
-    discovery_troubles: u32,
+    discovery_faults: u32,
     /// Until when discovery is at work on polls that it has accepted.
     discovery_busy_until: Time,
     /// What the list says of each endpoint.
@@ -137,7 +137,7 @@
             deduplication: FxHashMap::default(),
             replacements: BTreeMap::new(),
             partitions: Vec::new(),
-            discovery_troubles: 0,
+            discovery_faults: 0,
             discovery_busy_until: 0,
             endpoint_list: vec![EndpointStatus::Ready; world.endpoints.len()],
             truth: GroundTruth::default(),
@@ -195,11 +195,11 @@
         for endpoint in 0..self.servers.len() as u32 {
             self.record_endpoint(endpoint);
         }
-        for trouble in 0..self.world.troubles.len() {
-            let begins = self.world.troubles[trouble].begins;
-            let ends = self.world.troubles[trouble].ends;
-            self.schedule(begins, Event::TroubleBegins { trouble });
-            self.schedule(ends, Event::TroubleEnds { trouble });
+        for fault in 0..self.world.faults.len() {
+            let begins = self.world.faults[fault].begins;
+            let ends = self.world.faults[fault].ends;
+            self.schedule(begins, Event::FaultBegins { fault });
+            self.schedule(ends, Event::FaultEnds { fault });
         }
         self.schedule(0, Event::Second);
         for relay in 0..self.relays.len() {
--- a/crates/lab/src/day/connections.rs
+++ b/crates/lab/src/day/connections.rs
@@ -33,7 +33,7 @@
 
     /// Until when no byte passes between the two; 0 if bytes pass.
     pub(super) fn silent_until(&self, relay: u32, endpoint: u32) -> Time {
-        let partitions = self.partitions.iter().map(|trouble| &self.world.troubles[*trouble]);
+        let partitions = self.partitions.iter().map(|fault| &self.world.faults[*fault]);
         let between =
             partitions.filter(|p| p.relays.contains(&relay) && p.endpoints.binary_search(&endpoint).is_ok());
         let partitioned_until = between.map(|partition| partition.ends).max().unwrap_or(0);
--- a/crates/lab/src/day/discovery.rs
+++ b/crates/lab/src/day/discovery.rs
@@ -5,9 +5,9 @@
 use crate::Time;
 use crate::host::RelayEvent;
 use crate::random::Purpose;
-use crate::world::ScheduledTrouble;
+use crate::world::ResolvedFault;
 use mountshift::interface::EndpointStatus;
-use mountshift_scenario::TroubleKind;
+use mountshift_scenario::ScriptedFaultKind;
 
 /// An update of the list arrives at a relay after a span between this and [`MAX_UPDATE_DELAY`].
 const MIN_UPDATE_DELAY: Time = 50_000;
@@ -38,15 +38,15 @@
 
     /// The end of the troubles that hold back an update, if any does.
     fn update_held_until(&self, relay: u32, endpoint: u32) -> Option<Time> {
-        if self.discovery_troubles == 0 {
+        if self.discovery_faults == 0 {
             return None;
         }
-        let holds = |trouble: &&ScheduledTrouble| {
-            let watch_lost = trouble.kind == TroubleKind::WatchLost && trouble.relays.contains(&relay);
-            let list_late = trouble.kind == TroubleKind::ListLate && trouble.endpoints.contains(&endpoint);
-            (watch_lost || list_late) && trouble.is_active(self.now)
+        let holds = |fault: &&ResolvedFault| {
+            let watch_lost = fault.kind == ScriptedFaultKind::WatchLost && fault.relays.contains(&relay);
+            let list_late = fault.kind == ScriptedFaultKind::ListLate && fault.endpoints.contains(&endpoint);
+            (watch_lost || list_late) && fault.is_active(self.now)
         };
-        self.world.troubles.iter().filter(holds).map(|trouble| trouble.ends).max()
+        self.world.faults.iter().filter(holds).map(|fault| fault.ends).max()
     }
 
     /// Changes an endpoint's entry in the list and sends the update to every relay, each a little later.
@@ -87,11 +87,11 @@
 
     /// The answer to a poll arrives: the whole list, or an error while the relay's watch is lost.
     pub(super) fn poll_answered(&mut self, relay: u32) {
-        let watch_lost = |trouble: &ScheduledTrouble| {
-            let kind = trouble.kind == TroubleKind::WatchLost;
-            kind && trouble.is_active(self.now) && trouble.relays.contains(&relay)
+        let watch_lost = |fault: &ResolvedFault| {
+            let kind = fault.kind == ScriptedFaultKind::WatchLost;
+            kind && fault.is_active(self.now) && fault.relays.contains(&relay)
         };
-        let failed = self.world.troubles.iter().any(watch_lost);
+        let failed = self.world.faults.iter().any(watch_lost);
         let host = &mut self.relays[relay as usize];
         if !host.up {
             return;
--- a/crates/lab/src/day/events.rs
+++ b/crates/lab/src/day/events.rs
@@ -24,9 +24,9 @@
     /// An endpoint that stood still goes on.
     EndpointResumes { endpoint: u32 },
     /// A trouble of the script begins.
-    TroubleBegins { trouble: usize },
+    FaultBegins { fault: usize },
     /// A trouble of the script ends.
-    TroubleEnds { trouble: usize },
+    FaultEnds { fault: usize },
     /// An update of one endpoint arrives at a relay.
     ListUpdate { relay: u32, endpoint: u32, status: EndpointStatus },
     /// A relay's poll for the endpoint list is answered.
@@ -98,8 +98,8 @@
             Event::CallEnds { call, ends } => self.call_ends(call, ends),
             Event::CallTimeout { call } => self.call_timeout(call),
             Event::EndpointResumes { endpoint } => self.start_queued_calls(endpoint),
-            Event::TroubleBegins { trouble } => self.change_trouble(trouble, true),
-            Event::TroubleEnds { trouble } => self.change_trouble(trouble, false),
+            Event::FaultBegins { fault } => self.change_fault(fault, true),
+            Event::FaultEnds { fault } => self.change_fault(fault, false),
             Event::ListUpdate { relay, endpoint, status } => self.list_update(relay, endpoint, status),
             Event::PollAnswered { relay } => self.poll_answered(relay),
             Event::PollFailed { relay } => self.relays[relay as usize].inbox.push(RelayEvent::PollFailed),
--- /dev/null
+++ b/crates/lab/src/day/faults.rs
@@ -0,0 +1,122 @@
+//! The script of troubles: what begins and ends, and what that does to endpoints, relays and the list.
+
+use super::Day;
+use super::events::Event;
+use crate::Time;
+use crate::host::RelayEvent;
+use crate::world::ResolvedFault;
+use mountshift::interface::EndpointStatus;
+use mountshift_invariants::Fact;
+use mountshift_scenario::ScriptedFaultKind;
+
+impl Day<'_> {
+    /// A trouble of the script begins or ends.
+    pub(super) fn change_fault(&mut self, fault_id: usize, begins: bool) {
+        let fault = self.world.faults[fault_id].clone();
+        match fault.kind {
+            ScriptedFaultKind::Kill | ScriptedFaultKind::Waves => self.change_kill(fault_id, &fault, begins),
+            ScriptedFaultKind::Stall if begins => self.begin_stall(&fault),
+            ScriptedFaultKind::Stall => {}
+            ScriptedFaultKind::Cut => self.change_partition(fault_id, begins),
+            ScriptedFaultKind::ClockStep => self.change_clock_step(&fault, begins),
+            ScriptedFaultKind::WatchLost | ScriptedFaultKind::ListLate => {
+                self.change_discovery_fault(&fault, begins);
+            }
+            ScriptedFaultKind::ListWrong => self.change_wrong_list(&fault, begins),
+            ScriptedFaultKind::Drain | ScriptedFaultKind::Replace | ScriptedFaultKind::Readdress => {
+                if begins {
+                    self.begin_replacements(fault_id, &fault);
+                } else {
+                    self.end_replacements(fault_id, fault.kind);
+                }
+            }
+            ScriptedFaultKind::ThrottleCount
+            | ScriptedFaultKind::ThrottleRate
+            | ScriptedFaultKind::ThrottleLies
+            | ScriptedFaultKind::ThrottleSpends => self.change_throttle(fault_id, &fault, begins),
+            _ => {
+                for endpoint in fault.endpoints {
+                    self.change_endpoint_fault(endpoint, fault_id, begins);
+                }
+            }
+        }
+    }
+
+    fn change_kill(&mut self, fault_id: usize, fault: &ResolvedFault, begins: bool) {
+        for relay in fault.relays.iter().copied() {
+            if begins {
+                self.kill_relay(relay, fault_id);
+            } else if !self.relays[relay as usize].up {
+                self.start_relay(relay);
+            }
+        }
+    }
+
+    fn begin_stall(&mut self, fault: &ResolvedFault) {
+        for relay in fault.relays.iter().copied() {
+            self.record(Fact::RelayStalled { relay, until: fault.ends });
+            self.stall_relay(relay, fault.ends);
+        }
+    }
+
+    /// A relay stands still; clients whose messages it has not read yet wait no longer than their patience.
+    fn stall_relay(&mut self, relay: u32, until: Time) {
+        let host = &mut self.relays[relay as usize];
+        host.stalled_until = host.stalled_until.max(until);
+        let unread = host.inbox.iter().filter_map(|came| match came {
+            RelayEvent::Submitted { message, .. } => Some(*message),
+            _ => None,
+        });
+        let unread: Vec<u64> = unread.collect();
+        let timeout = self.now + self.world.scenario.clients.submit_timeout.us();
+        for message in unread {
+            self.schedule(timeout, Event::ClientTimeout { message });
+        }
+    }
+
+    fn change_partition(&mut self, fault_id: usize, begins: bool) {
+        self.partitions.retain(|active| *active != fault_id);
+        if begins {
+            self.partitions.push(fault_id);
+        }
+    }
+
+    fn change_clock_step(&mut self, fault: &ResolvedFault, begins: bool) {
+        let step = (fault.level * 1e6) as i64;
+        for relay in &fault.relays {
+            self.relays[*relay as usize].step_clock(if begins { step } else { -step });
+        }
+    }
+
+    fn change_discovery_fault(&mut self, fault: &ResolvedFault, begins: bool) {
+        if !begins {
+            self.discovery_faults -= 1;
+            return;
+        }
+        self.discovery_faults += 1;
+        if fault.kind == ScriptedFaultKind::WatchLost && self.world.scenario.relays.watch {
+            for relay in &fault.relays {
+                self.relays[*relay as usize].inbox.push(RelayEvent::PollFailed);
+            }
+        }
+    }
+
+    fn change_wrong_list(&mut self, fault: &ResolvedFault, begins: bool) {
+        let status = if begins { EndpointStatus::Removed } else { EndpointStatus::Ready };
+        for endpoint in fault.endpoints.iter().copied() {
+            self.publish(endpoint, status);
+        }
+    }
+
+    fn change_throttle(&mut self, fault_id: usize, fault: &ResolvedFault, begins: bool) {
+        let routes = fault.endpoints.iter().map(|endpoint| self.servers[*endpoint as usize].setup.route);
+        let mut routes: Vec<u32> = routes.collect();
+        routes.dedup();
+        for route_id in routes {
+            let route = &mut self.routes[route_id as usize];
+            let group = self.servers[route.endpoints[0] as usize].setup.group;
+            let rate = self.world.scenario.groups[group].rate.0;
+            route.change_fault_limit(fault_id, fault, rate, begins, self.now);
+        }
+    }
+}
--- a/crates/lab/src/day/outages.rs
+++ b/crates/lab/src/day/outages.rs
@@ -6,7 +6,7 @@
 use super::{ANSWER_DELAY, Day};
 use crate::Time;
 use crate::random::Purpose;
-use crate::servers::TroubleEffects;
+use crate::servers::FaultEffects;
 use mountshift::interface::Outcome;
 use mountshift_invariants::Fact;
 
@@ -15,13 +15,13 @@
 
 impl Day<'_> {
     /// A trouble of an endpoint itself begins or ends.
-    pub(super) fn change_endpoint_trouble(&mut self, endpoint: u32, trouble: usize, begins: bool) {
+    pub(super) fn change_endpoint_fault(&mut self, endpoint: u32, fault: usize, begins: bool) {
         let server = &mut self.servers[endpoint as usize];
-        server.active_troubles.retain(|active| *active != trouble);
+        server.active_faults.retain(|active| *active != fault);
         if begins {
-            server.active_troubles.push(trouble);
+            server.active_faults.push(fault);
         }
-        let after = TroubleEffects::new(&server.active_troubles, &self.world.troubles);
+        let after = FaultEffects::new(&server.active_faults, &self.world.faults);
         let before = std::mem::replace(&mut server.effects, after.clone());
         let route = server.setup.route;
         let dies = after.refuses && !before.refuses;
--- a/crates/lab/src/day/relays.rs
+++ b/crates/lab/src/day/relays.rs
@@ -180,20 +180,20 @@
     }
 
     /// Ends a relay's process without notice.
-    pub(super) fn kill_relay(&mut self, relay: u32, trouble: usize) {
+    pub(super) fn kill_relay(&mut self, relay: u32, fault: usize) {
         if !self.relays[relay as usize].up {
             return;
         }
-        self.play_interrupted_step(relay, trouble);
+        self.play_interrupted_step(relay, fault);
         self.relays[relay as usize].kill();
         self.record(Fact::RelayDown { relay });
         self.drop_connections_of_relay(relay);
         self.time_out_clients_of_relay(relay);
     }
 
-    fn play_interrupted_step(&mut self, relay: u32, trouble: usize) {
+    fn play_interrupted_step(&mut self, relay: u32, fault: usize) {
         let count = KillPoint::ALL.len();
-        let drawn = self.world.random.index(Purpose::KillPoint, count, trouble as u64, u64::from(relay));
+        let drawn = self.world.random.index(Purpose::KillPoint, count, fault as u64, u64::from(relay));
         let stalled = self.relays[relay as usize].stalled_until > self.now;
         if stalled || self.play.which.is_omniscient() {
             return;
--- a/crates/lab/src/day/replacement.rs
+++ b/crates/lab/src/day/replacement.rs
@@ -3,9 +3,9 @@
 use super::Day;
 use crate::route::Route;
 use crate::servers::Server;
-use crate::world::ScheduledTrouble;
+use crate::world::ResolvedFault;
 use mountshift::interface::EndpointStatus;
-use mountshift_scenario::TroubleKind;
+use mountshift_scenario::ScriptedFaultKind;
 
 /// An endpoint and the one that takes its place.
 pub(super) struct Replacement {
@@ -15,28 +15,28 @@
 
 impl Day<'_> {
     /// The endpoints of a trouble are drained, replaced, or lose their addresses to others.
-    pub(super) fn begin_replacements(&mut self, trouble_id: usize, trouble: &ScheduledTrouble) {
-        for old in trouble.endpoints.iter().copied() {
+    pub(super) fn begin_replacements(&mut self, fault_id: usize, fault: &ResolvedFault) {
+        for old in fault.endpoints.iter().copied() {
             if self.servers[old as usize].removed {
                 continue;
             }
             let new = self.add_replacement(old);
-            self.replacements.entry(trouble_id).or_default().push(Replacement { old, new });
-            match trouble.kind {
-                TroubleKind::Drain => {
+            self.replacements.entry(fault_id).or_default().push(Replacement { old, new });
+            match fault.kind {
+                ScriptedFaultKind::Drain => {
                     self.publish(old, EndpointStatus::Draining);
                     self.publish(new, EndpointStatus::Ready);
                 }
-                TroubleKind::Readdress => self.take_out_of_service(old, Some(new)),
+                ScriptedFaultKind::Readdress => self.take_out_of_service(old, Some(new)),
                 _ => self.take_out_of_service(old, None),
             }
         }
     }
 
     /// The endpoint list learns what became of the trouble's endpoints.
-    pub(super) fn end_replacements(&mut self, trouble_id: usize, kind: TroubleKind) {
-        for Replacement { old, new } in self.replacements.remove(&trouble_id).unwrap_or_default() {
-            if kind == TroubleKind::Drain {
+    pub(super) fn end_replacements(&mut self, fault_id: usize, kind: ScriptedFaultKind) {
+        for Replacement { old, new } in self.replacements.remove(&fault_id).unwrap_or_default() {
+            if kind == ScriptedFaultKind::Drain {
                 self.take_out_of_service(old, None);
             } else {
                 self.publish(new, EndpointStatus::Ready);
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -4,7 +4,9 @@
 use crate::day::{Day, Play};
 use crate::policy_kind::PolicyKind;
 use crate::random::{Purpose, SeededRandom};
-use mountshift_scenario::{Amount, Group, Scenario, Share, Span, Strikes, Trouble, TroubleKind};
+use mountshift_scenario::{
+    Amount, Group, Scenario, ScriptedFault, ScriptedFaultKind, Share, Span, TargetKind,
+};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rayon::prelude::*;
@@ -75,12 +77,12 @@
     /// The number of scripts that were tried.
     pub tried: usize,
     /// Troubles before and after it was cut down.
-    pub troubles: (usize, usize),
+    pub faults: (usize, usize),
 }
 
 /// A script of troubles that was played.
 struct Candidate {
-    troubles: Vec<Trouble>,
+    faults: Vec<ScriptedFault>,
     seed: u64,
     badness: Badness,
 }
@@ -107,24 +109,24 @@
     if goal == SearchGoal::Rules && worst.badness.broken == 0 {
         return None;
     }
-    let before = worst.troubles.len();
+    let before = worst.faults.len();
     let reduced = Reduction { base, goal, first: worst.badness, current: worst }.reduce();
     Some(Found {
-        scenario: with_troubles(base, &reduced.troubles),
+        scenario: with_faults(base, &reduced.faults),
         seed: reduced.seed,
         badness: reduced.badness,
         tried: budget,
-        troubles: (before, reduced.troubles.len()),
+        faults: (before, reduced.faults.len()),
     })
 }
 
 fn try_script(base: &Scenario, goal: SearchGoal, seed: u64, number: u64) -> Candidate {
     let mut rng = SeededRandom(seed).stream(Purpose::Search, number);
     let count = rng.random_range(1..=MAX_TROUBLES);
-    let troubles: Vec<Trouble> = (0..count).map(|_| draw_trouble(base, &mut rng)).collect();
+    let faults: Vec<ScriptedFault> = (0..count).map(|_| draw_fault(base, &mut rng)).collect();
     let seed = u64::from(rng.random::<u32>());
-    let badness = play(&with_troubles(base, &troubles), seed, goal);
-    Candidate { troubles, seed, badness }
+    let badness = play(&with_faults(base, &faults), seed, goal);
+    Candidate { faults, seed, badness }
 }
 
 fn play(scenario: &Scenario, seed: u64, goal: SearchGoal) -> Badness {
@@ -134,9 +136,9 @@
     Badness { broken: ours.rules.iter().sum(), service: ours.service, top }
 }
 
-fn with_troubles(base: &Scenario, troubles: &[Trouble]) -> Scenario {
-    let troubles = troubles.iter().map(|trouble| Spanned::new(0..0, trouble.clone())).collect();
-    Scenario { troubles, ..base.clone() }
+fn with_faults(base: &Scenario, faults: &[ScriptedFault]) -> Scenario {
+    let faults = faults.iter().map(|fault| Spanned::new(0..0, fault.clone())).collect();
+    Scenario { faults, ..base.clone() }
 }
 
 fn span(seconds: f64) -> Span {
@@ -144,35 +146,42 @@
 }
 
 /// Draws a trouble. The order of the draws decides which scripts a seed tries.
-fn draw_trouble(base: &Scenario, rng: &mut ChaCha8Rng) -> Trouble {
+fn draw_fault(base: &Scenario, rng: &mut ChaCha8Rng) -> ScriptedFault {
     let length = base.length.as_ref().seconds();
-    let kind = TroubleKind::ALL[rng.random_range(0..TroubleKind::ALL.len())];
+    let kind = ScriptedFaultKind::ALL[rng.random_range(0..ScriptedFaultKind::ALL.len())];
     let from = rng.random_range(0.05..0.8) * length;
     let lasts = rng.random_range(0.05..0.5) * length;
-    let knobs = kind.knobs();
-    let who = draw_targets(base, kind, rng);
+    let required = kind.required_fields();
+    let target = draw_targets(base, kind, rng);
     let every = rng.random_range(1.5..4.0);
     let level = draw_level(kind, rng);
-    let has_level = knobs.part || knobs.level;
-    Trouble {
+    let has_level = required.level_fraction || required.level;
+    ScriptedFault {
         kind,
         from: span(from),
         to: span(from + lasts),
-        who: vec![who],
+        targets: vec![target],
         share: if rng.random_bool(0.4) { Some(Share(rng.random_range(0.2..0.9))) } else { None },
-        each: rng.random_bool(0.3),
+        per_endpoint: rng.random_bool(0.3),
         level: if has_level { Some(Amount((level * 100.0_f64).round() / 100.0)) } else { None },
-        every: if knobs.every { Some(span(every)) } else { None },
-        lasts: if knobs.every { Some(span(every * rng.random_range(0.1..0.6))) } else { None },
-        lane: if knobs.lane { Some(draw_class(base, rng)) } else { None },
-        off: if knobs.off { vec![draw_group(base, rng)] } else { Vec::new() },
+        repeat_interval: if required.repetition { Some(span(every)) } else { None },
+        occurrence_duration: if required.repetition {
+            Some(span(every * rng.random_range(0.1..0.6)))
+        } else {
+            None
+        },
+        class: if required.class { Some(draw_class(base, rng)) } else { None },
+        cut_from: if required.cut_from { vec![draw_group(base, rng)] } else { Vec::new() },
     }
 }
 
-fn draw_level(kind: TroubleKind, rng: &mut ChaCha8Rng) -> f64 {
-    if kind.knobs().part {
+fn draw_level(kind: ScriptedFaultKind, rng: &mut ChaCha8Rng) -> f64 {
+    if kind.required_fields().level_fraction {
         rng.random_range(0.1..1.0)
-    } else if matches!(kind, TroubleKind::Slow | TroubleKind::HeavyTail | TroubleKind::ClockStep) {
+    } else if matches!(
+        kind,
+        ScriptedFaultKind::Slow | ScriptedFaultKind::HeavyTail | ScriptedFaultKind::ClockStep
+    ) {
         rng.random_range(2.0..15.0)
     } else {
         rng.random_range(0.2..0.9)
@@ -180,8 +189,8 @@
 }
 
 /// Relays, or endpoints by group, as scenario files name them.
-fn draw_targets(base: &Scenario, kind: TroubleKind, rng: &mut ChaCha8Rng) -> String {
-    let strikes_relays = kind.strikes().0 == Strikes::Relays;
+fn draw_targets(base: &Scenario, kind: ScriptedFaultKind, rng: &mut ChaCha8Rng) -> String {
+    let strikes_relays = kind.target_kind_and_description().0 == TargetKind::Relays;
     match rng.random_range(0..3) {
         0 if strikes_relays => format!("relay/{}", rng.random_range(0..base.relays.count.get())),
         _ if strikes_relays => "relays".to_string(),
@@ -221,18 +230,18 @@
 
 impl Reduction<'_> {
     fn reduce(mut self) -> Candidate {
-        self.leave_out_troubles();
-        for index in 0..self.current.troubles.len() {
+        self.remove_faults();
+        for index in 0..self.current.faults.len() {
             self.shorten(index, CutAt::End);
             self.shorten(index, CutAt::Beginning);
         }
         self.current
     }
 
-    fn leave_out_troubles(&mut self) {
+    fn remove_faults(&mut self) {
         let mut index = 0;
-        while index < self.current.troubles.len() && self.current.troubles.len() > 1 {
-            let mut fewer = self.current.troubles.clone();
+        while index < self.current.faults.len() && self.current.faults.len() > 1 {
+            let mut fewer = self.current.faults.clone();
             fewer.remove(index);
             if !self.accept_if_bad(fewer) {
                 index += 1;
@@ -243,13 +252,13 @@
     /// Halves a trouble again and again.
     fn shorten(&mut self, index: usize, cut: CutAt) {
         loop {
-            let trouble = &self.current.troubles[index];
-            let half = (trouble.to.0 - trouble.from.0) / 2;
+            let fault = &self.current.faults[index];
+            let half = (fault.to.0 - fault.from.0) / 2;
             if half < MIN_TROUBLE_LENGTH {
                 return;
             }
-            let middle = Span(trouble.from.0 + half);
-            let mut shorter = self.current.troubles.clone();
+            let middle = Span(fault.from.0 + half);
+            let mut shorter = self.current.faults.clone();
             match cut {
                 CutAt::End => shorter[index].to = middle,
                 CutAt::Beginning => shorter[index].from = middle,
@@ -261,12 +270,12 @@
     }
 
     /// Plays the day with other troubles and keeps them if it is about as bad; true if it is.
-    fn accept_if_bad(&mut self, troubles: Vec<Trouble>) -> bool {
-        let badness = play(&with_troubles(self.base, &troubles), self.current.seed, self.goal);
+    fn accept_if_bad(&mut self, faults: Vec<ScriptedFault>) -> bool {
+        let badness = play(&with_faults(self.base, &faults), self.current.seed, self.goal);
         if !badness.is_as_bad_as(&self.first, self.goal) {
             return false;
         }
-        self.current.troubles = troubles;
+        self.current.faults = faults;
         self.current.badness = badness;
         true
     }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -122,7 +122,8 @@
     /// Breakers: relay, destination, second, state.
     pub breakers: Vec<BreakerStep>,
     /// Troubles: kind, whom, from, to.
-    pub troubles: Vec<TroubleSpan>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<FaultSpan>,
 }
 
 /// The load of a route, second by second.
@@ -151,7 +152,7 @@
 
 /// A trouble of the scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TroubleSpan {
+pub struct FaultSpan {
     /// What it is, as scenario files call it.
     pub kind: String,
     /// Whom it strikes, as scenario files name them.
--- a/crates/lab/src/random.rs
+++ b/crates/lab/src/random.rs
@@ -13,7 +13,7 @@
 #[repr(u64)]
 pub(crate) enum Purpose {
     Traffic = 1,
-    TroubleTargets = 3,
+    FaultTargets = 3,
     ServiceTime = 4,
     Error = 5,
     FailedCallEffect = 6,
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -5,7 +5,7 @@
 
 use crate::error::LabError;
 use crate::experiment::{Summary, summarise};
-use crate::outcome::{BreachOutcome, Course, DayOutcome, PartOutcome, TroubleSpan};
+use crate::outcome::{BreachOutcome, Course, DayOutcome, FaultSpan, PartOutcome};
 use crate::policy_kind::PolicyKind;
 use minijinja::{Environment, Value, context};
 use mountshift_scenario::Scenario;
@@ -30,17 +30,17 @@
     let seeds: Vec<String> = seeds.iter().map(u64::to_string).collect();
     let policies: Vec<Value> = summarise(days).iter().map(policy_row).collect();
     let classes: Vec<Value> = shown.classes.iter().chain(&shown.tenants).map(part_row).collect();
-    let troubles = shown.course.as_ref().map_or(&[][..], |course| &course.troubles);
-    let troubles: Vec<Value> = troubles.iter().map(trouble_row).collect();
+    let faults = shown.course.as_ref().map_or(&[][..], |course| &course.faults);
+    let faults: Vec<Value> = faults.iter().map(fault_row).collect();
     let mut environment = Environment::new();
     environment.set_auto_escape_callback(|_| minijinja::AutoEscape::Html);
     environment.add_template("page", PAGE).map_err(LabError::report)?;
     let page = environment.get_template("page").map_err(LabError::report)?;
     page.render(context! {
-        name => scenario.name.as_str(), about => scenario.about.as_str(), days => days.len(),
+        name => scenario.name.as_str(), about => scenario.description.as_str(), days => days.len(),
         seeds => seeds.join(", "), ours => ours, kept => days_of_ours.iter().all(|day| day.kept()),
         policies => policies, lanes => classes, tenants => !shown.tenants.is_empty(), seed => shown.seed,
-        figures => figures(scenario, shown.course.as_ref())?, troubles => troubles,
+        figures => figures(scenario, shown.course.as_ref())?, troubles => faults,
         breaches => breach_rows(&days_of_ours),
     })
     .map_err(LabError::report)
@@ -82,12 +82,12 @@
     }
 }
 
-fn trouble_row(trouble: &TroubleSpan) -> Value {
+fn fault_row(fault: &FaultSpan) -> Value {
     context! {
-        kind => trouble.kind.as_str(),
-        whom => trouble.whom.as_str(),
-        from_s => trouble.from_s,
-        to_s => trouble.to_s,
+        kind => fault.kind.as_str(),
+        whom => fault.whom.as_str(),
+        from_s => fault.from_s,
+        to_s => fault.to_s,
     }
 }
 
--- a/crates/lab/src/report/charts.rs
+++ b/crates/lab/src/report/charts.rs
@@ -160,16 +160,15 @@
 }
 
 /// Shades the spans of troubles; `pixel` gives the place of a second and a value on the area.
-fn shade_troubles(
+fn shade_faults(
     course: &Course,
     area: &Area,
     last_second: f64,
     top: f64,
     pixel: impl Fn(f64, f64) -> (i32, i32),
 ) -> Result<(), LabError> {
-    for trouble in &course.troubles {
-        let corners =
-            [pixel(trouble.from_s.min(last_second), top), pixel(trouble.to_s.min(last_second), 0.0)];
+    for fault in &course.faults {
+        let corners = [pixel(fault.from_s.min(last_second), top), pixel(fault.to_s.min(last_second), 0.0)];
         let shade = Rectangle::new(corners, TROUBLE_COLOUR.mix(0.09).filled());
         area.draw(&shade).map_err(LabError::report)?;
     }
@@ -196,9 +195,7 @@
             .map_err(LabError::report)?;
         let mut mesh = chart.configure_mesh();
         mesh.x_desc("seconds").y_desc(unit).light_line_style(WHITE).draw().map_err(LabError::report)?;
-        shade_troubles(course, area, last_second, top, |second, value| {
-            chart.backend_coord(&(second, value))
-        })?;
+        shade_faults(course, area, last_second, top, |second, value| chart.backend_coord(&(second, value)))?;
         for (index, line) in lines.iter().enumerate() {
             let style = LINE_COLOURS[index % LINE_COLOURS.len()].stroke_width(2);
             let points = line.values.iter().enumerate().filter(|(_, value)| value.is_finite());
--- a/crates/lab/src/route.rs
+++ b/crates/lab/src/route.rs
@@ -2,8 +2,8 @@
 
 use crate::Time;
 use crate::rate_limit::RateLimit;
-use crate::world::{ScheduledTrouble, World};
-use mountshift_scenario::{Limit, LimitBy, Rate, RetryAfterAccuracy, Span, TroubleKind};
+use crate::world::{ResolvedFault, World};
+use mountshift_scenario::{Limit, LimitBy, Rate, RetryAfterAccuracy, ScriptedFaultKind, Span};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -138,26 +138,26 @@
     }
 
     /// Lifts the limit that a trouble brings, and sets it anew where the trouble begins.
-    pub(crate) fn change_trouble_limit(
+    pub(crate) fn change_fault_limit(
         &mut self,
-        trouble_id: usize,
-        trouble: &ScheduledTrouble,
+        fault_id: usize,
+        fault: &ResolvedFault,
         rate: f64,
         begins: bool,
         now: Time,
     ) {
-        self.limits.retain(|limit| limit.set_by != Some(trouble_id));
+        self.limits.retain(|limit| limit.set_by != Some(fault_id));
         if !begins {
             return;
         }
-        if let Some(limit) = limit_of(trouble.kind, Rate(rate * trouble.level)) {
-            self.limits.push(RateLimit::new(limit, Some(trouble_id), now));
+        if let Some(limit) = limit_of(fault.kind, Rate(rate * fault.level)) {
+            self.limits.push(RateLimit::new(limit, Some(fault_id), now));
         }
     }
 }
 
 /// The limit that a kind of trouble brings.
-fn limit_of(kind: TroubleKind, rate: Rate) -> Option<Limit> {
+fn limit_of(kind: ScriptedFaultKind, rate: Rate) -> Option<Limit> {
     let window = Span(TROUBLE_LIMIT_WINDOW);
     let by_count = Limit {
         by: LimitBy::Count,
@@ -167,14 +167,14 @@
         rejected_calls_count: false,
     };
     match kind {
-        TroubleKind::ThrottleCount => Some(by_count),
-        TroubleKind::ThrottleRate => {
+        ScriptedFaultKind::ThrottleCount => Some(by_count),
+        ScriptedFaultKind::ThrottleRate => {
             Some(Limit { by: LimitBy::Rate, retry_after: RetryAfterAccuracy::Missing, ..by_count })
         }
-        TroubleKind::ThrottleLies => {
+        ScriptedFaultKind::ThrottleLies => {
             Some(Limit { by: LimitBy::Rate, retry_after: RetryAfterAccuracy::Wrong, ..by_count })
         }
-        TroubleKind::ThrottleSpends => Some(Limit { rejected_calls_count: true, ..by_count }),
+        ScriptedFaultKind::ThrottleSpends => Some(Limit { rejected_calls_count: true, ..by_count }),
         _ => None,
     }
 }
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -1,8 +1,8 @@
 //! Endpoints at work: their workers, queues and connections, and what troubles make of them.
 
 use crate::Time;
-use crate::world::{EndpointSetup, ScheduledTrouble, World};
-use mountshift_scenario::TroubleKind;
+use crate::world::{EndpointSetup, ResolvedFault, World};
+use mountshift_scenario::ScriptedFaultKind;
 use std::collections::VecDeque;
 
 /// From this rate of errors on an endpoint counts as out.
@@ -17,7 +17,7 @@
 
 /// What the troubles of now make of an endpoint.
 #[derive(Clone, Debug)]
-pub(crate) struct TroubleEffects {
+pub(crate) struct FaultEffects {
     /// Connections are refused, and what was open breaks.
     pub(crate) refuses: bool,
     /// It is off the network without a word.
@@ -40,9 +40,9 @@
     pub(crate) connection_table_full: bool,
 }
 
-impl Default for TroubleEffects {
-    fn default() -> TroubleEffects {
-        TroubleEffects {
+impl Default for FaultEffects {
+    fn default() -> FaultEffects {
+        FaultEffects {
             refuses: false,
             vanished: false,
             silent_until: 0,
@@ -59,35 +59,35 @@
     }
 }
 
-impl TroubleEffects {
+impl FaultEffects {
     /// The joint effects of the active troubles, given by their numbers.
-    pub(crate) fn new(active: &[usize], troubles: &[ScheduledTrouble]) -> TroubleEffects {
-        let mut effects = TroubleEffects::default();
-        for trouble in active {
-            effects.add(&troubles[*trouble]);
+    pub(crate) fn new(active: &[usize], faults: &[ResolvedFault]) -> FaultEffects {
+        let mut effects = FaultEffects::default();
+        for fault in active {
+            effects.add(&faults[*fault]);
         }
         effects
     }
 
-    fn add(&mut self, trouble: &ScheduledTrouble) {
-        match trouble.kind {
-            TroubleKind::Errors => self.error_rate = either(self.error_rate, trouble.level),
-            TroubleKind::Shut => self.rejects_all = true,
-            TroubleKind::Refuse | TroubleKind::Crash => self.refuses = true,
-            TroubleKind::Hang => {
+    fn add(&mut self, fault: &ResolvedFault) {
+        match fault.kind {
+            ScriptedFaultKind::Errors => self.error_rate = either(self.error_rate, fault.level),
+            ScriptedFaultKind::Shut => self.rejects_all = true,
+            ScriptedFaultKind::Refuse | ScriptedFaultKind::Crash => self.refuses = true,
+            ScriptedFaultKind::Hang => {
                 self.hung = true;
-                self.frozen_until = self.frozen_until.max(trouble.ends);
+                self.frozen_until = self.frozen_until.max(fault.ends);
             }
-            TroubleKind::Pauses => self.frozen_until = self.frozen_until.max(trouble.ends),
-            TroubleKind::Silent => self.silent_until = self.silent_until.max(trouble.ends),
-            TroubleKind::Vanish => self.vanished = true,
-            TroubleKind::Slow => self.slowdown *= trouble.level,
-            TroubleKind::HeavyTail => {
-                self.heavy_tails.push(HeavyTail { class: trouble.class, factor: trouble.level });
+            ScriptedFaultKind::Pauses => self.frozen_until = self.frozen_until.max(fault.ends),
+            ScriptedFaultKind::Silent => self.silent_until = self.silent_until.max(fault.ends),
+            ScriptedFaultKind::Vanish => self.vanished = true,
+            ScriptedFaultKind::Slow => self.slowdown *= fault.level,
+            ScriptedFaultKind::HeavyTail => {
+                self.heavy_tails.push(HeavyTail { class: fault.class, factor: fault.level });
             }
-            TroubleKind::Resets => self.reset_rate = either(self.reset_rate, trouble.level),
-            TroubleKind::Stale => self.stale_rate = either(self.stale_rate, trouble.level),
-            TroubleKind::TablesFull => self.connection_table_full = true,
+            ScriptedFaultKind::Resets => self.reset_rate = either(self.reset_rate, fault.level),
+            ScriptedFaultKind::Stale => self.stale_rate = either(self.stale_rate, fault.level),
+            ScriptedFaultKind::TablesFull => self.connection_table_full = true,
             _ => {}
         }
     }
@@ -124,8 +124,8 @@
     pub(crate) removed: bool,
     /// Another one that took its address over.
     pub(crate) successor: Option<u32>,
-    pub(crate) active_troubles: Vec<usize>,
-    pub(crate) effects: TroubleEffects,
+    pub(crate) active_faults: Vec<usize>,
+    pub(crate) effects: FaultEffects,
 }
 
 impl Server {
@@ -146,8 +146,8 @@
             epoch: 0,
             removed: false,
             successor: None,
-            active_troubles: Vec::new(),
-            effects: TroubleEffects::default(),
+            active_faults: Vec::new(),
+            effects: FaultEffects::default(),
         }
     }
 }
--- a/crates/lab/src/statistics.rs
+++ b/crates/lab/src/statistics.rs
@@ -1,7 +1,7 @@
 //! Counts while a day is played: worth submitted and delivered, and the course of the day by seconds.
 
 use crate::Time;
-use crate::outcome::{BreakerStep, Course, PartOutcome, RouteCourse, TroubleSpan};
+use crate::outcome::{BreakerStep, Course, FaultSpan, PartOutcome, RouteCourse};
 use crate::traffic::Request;
 use crate::world::World;
 use hdrhistogram::Histogram;
@@ -254,7 +254,7 @@
 
     /// The course of the day, for a report.
     pub(crate) fn course(self, world: &World) -> Course {
-        let troubles = world.scenario.troubles.iter().map(|trouble| trouble_span(trouble.as_ref()));
+        let faults = world.scenario.faults.iter().map(|fault| fault_span(fault.as_ref()));
         let routes = self.routes.into_iter().map(|(route, load)| RouteCourse {
             name: route_name(world, route),
             reached: load.arrived.0,
@@ -269,7 +269,7 @@
             submissions: self.submissions.0,
             routes: routes.collect(),
             breakers: self.breakers,
-            troubles: troubles.collect(),
+            faults: faults.collect(),
         }
     }
 }
@@ -277,7 +277,7 @@
 /// The routes of the endpoints that troubles strike, as many as a report shows.
 fn shown_routes(world: &World) -> BTreeMap<u32, RouteLoad> {
     let mut routes = BTreeMap::new();
-    for endpoint in world.troubles.iter().flat_map(|trouble| &trouble.endpoints) {
+    for endpoint in world.faults.iter().flat_map(|fault| &fault.endpoints) {
         if routes.len() >= MAX_ROUTES_SHOWN {
             break;
         }
@@ -318,11 +318,11 @@
     endpoint.map_or(String::new(), |endpoint| world.name(endpoint.destination))
 }
 
-fn trouble_span(trouble: &mountshift_scenario::Trouble) -> TroubleSpan {
-    TroubleSpan {
-        kind: trouble.kind.to_string(),
-        whom: trouble.who.join(", "),
-        from_s: trouble.from.seconds(),
-        to_s: trouble.to.seconds(),
+fn fault_span(fault: &mountshift_scenario::ScriptedFault) -> FaultSpan {
+    FaultSpan {
+        kind: fault.kind.to_string(),
+        whom: fault.targets.join(", "),
+        from_s: fault.from.seconds(),
+        to_s: fault.to.seconds(),
     }
 }
--- a/crates/lab/src/traffic.rs
+++ b/crates/lab/src/traffic.rs
@@ -3,7 +3,7 @@
 use crate::Time;
 use crate::random::Purpose;
 use crate::world::World;
-use mountshift_scenario::{Arrivals, Recorded, Scenario};
+use mountshift_scenario::{Arrivals, RecordedMessage, Scenario};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::weighted::WeightedAliasIndex;
@@ -42,20 +42,20 @@
 pub(crate) fn draw(world: &World) -> Vec<Request> {
     let scenario = world.scenario;
     if scenario.traffic.replay.is_some() {
-        return scenario.recorded.iter().map(|recorded| replayed(world, recorded)).collect();
+        return scenario.recorded_messages.iter().map(|recorded| replayed(world, recorded)).collect();
     }
     let mut requests = Generator::new(world).draw();
     requests.sort_by_key(|request| request.at);
     requests
 }
 
-fn replayed(world: &World, recorded: &Recorded) -> Request {
-    let class = world.scenario.classes.iter().position(|class| class.name == recorded.lane);
+fn replayed(world: &World, recorded: &RecordedMessage) -> Request {
+    let class = world.scenario.classes.iter().position(|class| class.name == recorded.class);
     Request {
         at: (recorded.seconds * 1e6) as Time,
         class: class.unwrap_or(0) as u16,
         tenant: 0,
-        destination: world.destination(world.group(&recorded.destinations), recorded.number),
+        destination: world.destination(world.group(&recorded.group), recorded.number),
         key: recorded.key,
     }
 }
@@ -87,7 +87,9 @@
             groups: WeightedChoice::new(scenario.groups.iter().map(|group| group.traffic.0).collect()),
             destinations: destinations.collect(),
             clump_size: match scenario.traffic.arrivals {
-                Arrivals::Clumps => scenario.traffic.clump.map_or(DEFAULT_CLUMP_SIZE, |size| size.0.max(1.0)),
+                Arrivals::Bursts => {
+                    scenario.traffic.burst_size.map_or(DEFAULT_CLUMP_SIZE, |size| size.0.max(1.0))
+                }
                 _ => 1.0,
             },
         }
@@ -144,9 +146,9 @@
 
 /// The factor by which rushes raise the rate of arrivals at a time in seconds.
 fn rush_factor(scenario: &Scenario, at: f64) -> f64 {
-    let rushes = scenario.traffic.rush.iter().map(std::convert::AsRef::as_ref);
-    let active = rushes.filter(|rush| (rush.from.seconds()..rush.to.seconds()).contains(&at));
-    active.map(|rush| rush.times.0).product()
+    let peaks = scenario.traffic.peaks.iter().map(std::convert::AsRef::as_ref);
+    let active = peaks.filter(|peak| (peak.from.seconds()..peak.to.seconds()).contains(&at));
+    active.map(|peak| peak.multiplier.0).product()
 }
 
 /// An ordering key of a destination, never 0.
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -6,7 +6,7 @@
 use mountshift::interface::*;
 use mountshift_invariants as invariants;
 use mountshift_scenario as scenario;
-use mountshift_scenario::{Scenario, TroubleKind, Whom};
+use mountshift_scenario::{FaultTarget, Scenario, ScriptedFaultKind};
 use std::time::Duration;
 
 /// Where the list tells rates roughly, it is off by a factor between this and 1.5.
@@ -33,8 +33,8 @@
 
 /// A trouble with its times and whom it strikes.
 #[derive(Clone, Debug)]
-pub(crate) struct ScheduledTrouble {
-    pub(crate) kind: TroubleKind,
+pub(crate) struct ResolvedFault {
+    pub(crate) kind: ScriptedFaultKind,
     pub(crate) begins: Time,
     pub(crate) ends: Time,
     pub(crate) level: f64,
@@ -44,7 +44,7 @@
     pub(crate) relays: Vec<u32>,
 }
 
-impl ScheduledTrouble {
+impl ResolvedFault {
     pub(crate) fn is_active(&self, now: Time) -> bool {
         self.begins <= now && now < self.ends
     }
@@ -63,7 +63,7 @@
     pub(crate) random: SeededRandom,
     pub(crate) destinations: Vec<Destination>,
     pub(crate) endpoints: Vec<EndpointSetup>,
-    pub(crate) troubles: Vec<ScheduledTrouble>,
+    pub(crate) faults: Vec<ResolvedFault>,
     route_count: u32,
     /// By group: the number of its first destination.
     first_destination: Vec<u32>,
@@ -77,7 +77,7 @@
             random: SeededRandom(seed),
             destinations: Vec::new(),
             endpoints: Vec::new(),
-            troubles: Vec::new(),
+            faults: Vec::new(),
             route_count: 0,
             first_destination: Vec::new(),
         };
@@ -87,8 +87,8 @@
                 world.add_destination(group_id, group);
             }
         }
-        for (number, trouble) in scenario.troubles.iter().enumerate() {
-            world.schedule_trouble(number as u64, trouble.as_ref());
+        for (number, fault) in scenario.faults.iter().enumerate() {
+            world.schedule_fault(number as u64, fault.as_ref());
         }
         world
     }
@@ -156,12 +156,12 @@
     /// Whom the names in a trouble's script mean.
     fn targets(&self, who: &[String]) -> Targets {
         let mut targets = Targets::default();
-        for whom in who.iter().filter_map(|text| Whom::read(text).ok()) {
+        for whom in who.iter().filter_map(|text| FaultTarget::parse(text).ok()) {
             match whom {
-                Whom::All => targets.endpoints.extend(0..self.endpoints.len() as u32),
-                Whom::Relays => targets.relays.extend(0..self.scenario.relays.count.get()),
-                Whom::Relay(relay) => targets.relays.push(relay),
-                Whom::Group(name, number, endpoint) => {
+                FaultTarget::All => targets.endpoints.extend(0..self.endpoints.len() as u32),
+                FaultTarget::Relays => targets.relays.extend(0..self.scenario.relays.count.get()),
+                FaultTarget::Relay(relay) => targets.relays.push(relay),
+                FaultTarget::Group(name, number, endpoint) => {
                     let group = self.group(&name);
                     let all = 0..self.scenario.groups[group].count.get();
                     for number in all.filter(|n| number.is_none_or(|only| only == *n)) {
@@ -188,44 +188,44 @@
     }
 
     /// Draws whom a trouble strikes, and splits it where it comes again and again.
-    fn schedule_trouble(&mut self, number: u64, script: &scenario::Trouble) {
-        let whole = self.draw_trouble(number, script);
-        let (Some(every), Some(lasts)) = (script.every, script.lasts) else {
-            self.troubles.push(whole);
+    fn schedule_fault(&mut self, number: u64, script: &scenario::ScriptedFault) {
+        let whole = self.draw_fault(number, script);
+        let (Some(every), Some(lasts)) = (script.repeat_interval, script.occurrence_duration) else {
+            self.faults.push(whole);
             return;
         };
         let starts = (whole.begins..whole.ends).step_by(every.us().max(1) as usize);
         for (index, begins) in starts.enumerate() {
             let ends = (begins + lasts.us()).min(whole.ends);
-            let mut part = ScheduledTrouble { begins, ends, ..whole.clone() };
-            if script.kind == TroubleKind::Waves {
+            let mut part = ResolvedFault { begins, ends, ..whole.clone() };
+            if script.kind == ScriptedFaultKind::Waves {
                 // One relay after another.
                 let Some(relay) = whole.relays.get(index).copied() else { break };
                 part.relays = vec![relay];
             }
-            self.troubles.push(part);
+            self.faults.push(part);
         }
     }
 
-    fn draw_trouble(&self, number: u64, script: &scenario::Trouble) -> ScheduledTrouble {
-        let mut targets = self.targets(&script.who);
+    fn draw_fault(&self, number: u64, script: &scenario::ScriptedFault) -> ResolvedFault {
+        let mut targets = self.targets(&script.targets);
         if let Some(share) = script.share {
             let struck =
-                |id: u32| self.random.uniform(Purpose::TroubleTargets, number, u64::from(id)) < share.0;
+                |id: u32| self.random.uniform(Purpose::FaultTargets, number, u64::from(id)) < share.0;
             targets.endpoints.retain(|endpoint| {
                 // Each endpoint for itself, or all those of a destination together.
                 let destination = self.endpoints[*endpoint as usize].destination;
-                struck(if script.each { *endpoint } else { destination })
+                struck(if script.per_endpoint { *endpoint } else { destination })
             });
             targets.relays.retain(|relay| struck(*relay));
         }
-        if script.kind == TroubleKind::Cut {
-            targets.endpoints = self.targets(&script.off).endpoints;
+        if script.kind == ScriptedFaultKind::Cut {
+            targets.endpoints = self.targets(&script.cut_from).endpoints;
         }
         let classes = &self.scenario.classes;
         let class =
-            script.lane.as_ref().and_then(|name| classes.iter().position(|class| class.name == *name));
-        ScheduledTrouble {
+            script.class.as_ref().and_then(|name| classes.iter().position(|class| class.name == *name));
+        ResolvedFault {
             kind: script.kind,
             begins: script.from.us(),
             ends: script.to.us(),
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -137,7 +137,7 @@
 fn a_value_is_changed_by_its_path() {
     let text = std::fs::read_to_string(path("slow")).expect("a file");
     let changed = with_value(&text, "slow.toml", "trouble.0.level", "3").expect("a scenario");
-    assert_eq!(changed.troubles[0].as_ref().level.map(|l| l.0), Some(3.0));
+    assert_eq!(changed.faults[0].as_ref().level.map(|l| l.0), Some(3.0));
     let set = with_value(&text, "slow.toml", "relays.round_gap", "10 ms").expect("a scenario");
     assert_eq!(set.relays.min_step_interval.us(), 10_000);
     let none = with_value(&text, "slow.toml", "trouble.7.level", "3").expect_err("refused");
@@ -154,7 +154,7 @@
 fn hunt_finds_a_reduced_day_that_can_be_played_again() {
     let s = scenario("calm");
     let found = hunt(&s, SearchGoal::Loss, 12, 1, &|| {}).expect("a bad day");
-    assert!(found.badness.loss() > 0.01 && found.troubles.1 <= found.troubles.0);
+    assert!(found.badness.loss() > 0.01 && found.faults.1 <= found.faults.0);
     let text = found.scenario.to_text().expect("a text");
     let again = Scenario::from_text(&text, "found").expect("a scenario");
     let day = play(&again, PolicyKind::Mountshift, found.seed);
--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -2,7 +2,8 @@
 
 use crate::error::{Inconsistency, RecordingInconsistency, ScenarioError};
 use crate::{
-    FORMAT, Group, Idempotency, Knobs, MessageClass, Recorded, Scenario, Strikes, Trouble, TroubleKind, Whom,
+    FORMAT, FaultTarget, Group, Idempotency, MessageClass, RecordedMessage, RequiredFields, Scenario,
+    ScriptedFault, ScriptedFaultKind, TargetKind,
 };
 use std::path::Path;
 
@@ -39,12 +40,12 @@
         check_group_name(group)?;
     }
     check_intervals(scenario)?;
-    for rush in &scenario.traffic.rush {
-        let (byte, rush) = (rush.span().start, rush.as_ref());
-        check_period(byte, "rush", rush.from.us(), rush.to.us(), scenario)?;
+    for peak in &scenario.traffic.peaks {
+        let (byte, peak) = (peak.span().start, peak.as_ref());
+        check_period(byte, "rush", peak.from.us(), peak.to.us(), scenario)?;
     }
-    for trouble in &scenario.troubles {
-        check_trouble(trouble.span().start, trouble.as_ref(), scenario)?;
+    for fault in &scenario.faults {
+        check_fault(fault.span().start, fault.as_ref(), scenario)?;
     }
     Ok(())
 }
@@ -143,42 +144,42 @@
     Ok(())
 }
 
-fn check_trouble(byte: usize, trouble: &Trouble, scenario: &Scenario) -> Result<(), Complaint> {
-    let kind = trouble.kind;
-    let knobs = kind.knobs();
-    check_period(byte, &kind.to_string(), trouble.from.us(), trouble.to.us(), scenario)?;
-    check_targets(byte, trouble, scenario)?;
-    check_fields(trouble, knobs).map_err(|reason| Complaint::at(byte, reason))?;
-    check_level(trouble, knobs).map_err(|reason| Complaint::at(byte, reason))?;
-    if let (Some(every), Some(lasts)) = (trouble.every, trouble.lasts)
+fn check_fault(byte: usize, fault: &ScriptedFault, scenario: &Scenario) -> Result<(), Complaint> {
+    let kind = fault.kind;
+    let required = kind.required_fields();
+    check_period(byte, &kind.to_string(), fault.from.us(), fault.to.us(), scenario)?;
+    check_targets(byte, fault, scenario)?;
+    check_fields(fault, required).map_err(|reason| Complaint::at(byte, reason))?;
+    check_level(fault, required).map_err(|reason| Complaint::at(byte, reason))?;
+    if let (Some(every), Some(lasts)) = (fault.repeat_interval, fault.occurrence_duration)
         && (lasts.us() == 0 || lasts.us() >= every.us())
     {
         return Err(Complaint::at(byte, Inconsistency::ImpossibleDuration { kind }));
     }
-    if let Some(class) = &trouble.lane
+    if let Some(class) = &fault.class
         && !has_class(scenario, class)
     {
         return Err(Complaint::at(byte, Inconsistency::UnknownClass { kind, class: class.clone() }));
     }
-    for text in &trouble.off {
-        if read_target(byte, text, scenario)?.strikes() == Strikes::Relays {
+    for text in &fault.cut_from {
+        if read_target(byte, text, scenario)?.kind() == TargetKind::Relays {
             return Err(Complaint::at(byte, Inconsistency::CutFromRelays { kind, text: text.clone() }));
         }
     }
     Ok(())
 }
 
-fn check_targets(byte: usize, trouble: &Trouble, scenario: &Scenario) -> Result<(), Complaint> {
-    let kind = trouble.kind;
-    if trouble.who.is_empty() {
+fn check_targets(byte: usize, fault: &ScriptedFault, scenario: &Scenario) -> Result<(), Complaint> {
+    let kind = fault.kind;
+    if fault.targets.is_empty() {
         return Err(Complaint::at(byte, Inconsistency::NoTarget { kind }));
     }
-    for text in &trouble.who {
+    for text in &fault.targets {
         let target = read_target(byte, text, scenario)?;
-        if target.strikes() != kind.strikes().0 {
-            let expected = match kind.strikes().0 {
-                Strikes::Endpoints => "endpoints",
-                Strikes::Relays => "relays",
+        if target.kind() != kind.target_kind_and_description().0 {
+            let expected = match kind.target_kind_and_description().0 {
+                TargetKind::Endpoints => "endpoints",
+                TargetKind::Relays => "relays",
             };
             let text = text.clone();
             return Err(Complaint::at(byte, Inconsistency::WrongTarget { kind, expected, text }));
@@ -188,15 +189,19 @@
 }
 
 /// A trouble must have the fields that its kind needs, and no others.
-fn check_fields(trouble: &Trouble, knobs: Knobs) -> Result<(), Inconsistency> {
-    let kind: TroubleKind = trouble.kind;
+fn check_fields(fault: &ScriptedFault, required: RequiredFields) -> Result<(), Inconsistency> {
+    let kind: ScriptedFaultKind = fault.kind;
     let fields = [
-        ("level", knobs.part || knobs.level, trouble.level.is_some()),
-        ("every and lasts", knobs.every, trouble.every.is_some() && trouble.lasts.is_some()),
-        ("every", knobs.every, trouble.every.is_some()),
-        ("lasts", knobs.every, trouble.lasts.is_some()),
-        ("lane", knobs.lane, trouble.lane.is_some()),
-        ("off", knobs.off, !trouble.off.is_empty()),
+        ("level", required.level_fraction || required.level, fault.level.is_some()),
+        (
+            "every and lasts",
+            required.repetition,
+            fault.repeat_interval.is_some() && fault.occurrence_duration.is_some(),
+        ),
+        ("every", required.repetition, fault.repeat_interval.is_some()),
+        ("lasts", required.repetition, fault.occurrence_duration.is_some()),
+        ("lane", required.class, fault.class.is_some()),
+        ("off", required.cut_from, !fault.cut_from.is_empty()),
     ];
     for (field, needed, given) in fields {
         if needed && !given {
@@ -209,10 +214,10 @@
     Ok(())
 }
 
-fn check_level(trouble: &Trouble, knobs: Knobs) -> Result<(), Inconsistency> {
-    let kind = trouble.kind;
-    let Some(level) = trouble.level.map(|level| level.0) else { return Ok(()) };
-    if knobs.part && level > 1.0 {
+fn check_level(fault: &ScriptedFault, required: RequiredFields) -> Result<(), Inconsistency> {
+    let kind = fault.kind;
+    let Some(level) = fault.level.map(|level| level.0) else { return Ok(()) };
+    if required.level_fraction && level > 1.0 {
         return Err(Inconsistency::LevelNoShare { kind, level });
     }
     if level == 0.0 {
@@ -222,14 +227,14 @@
 }
 
 /// Reads whom a text names; refuses a target that the scenario does not have.
-fn read_target(byte: usize, text: &str, scenario: &Scenario) -> Result<Whom, Complaint> {
+fn read_target(byte: usize, text: &str, scenario: &Scenario) -> Result<FaultTarget, Complaint> {
     let complain = |reason| Complaint::at(byte, reason);
-    let target = Whom::read(text).map_err(|error| complain(error.into()))?;
+    let target = FaultTarget::parse(text).map_err(|error| complain(error.into()))?;
     match &target {
-        Whom::Group(name, destination, endpoint) => {
+        FaultTarget::Group(name, destination, endpoint) => {
             check_group_target(text, name, *destination, *endpoint, scenario).map_err(complain)?;
         }
-        Whom::Relay(number) if *number >= scenario.relays.count.get() => {
+        FaultTarget::Relay(number) if *number >= scenario.relays.count.get() => {
             let count = scenario.relays.count;
             return Err(complain(Inconsistency::UnknownRelay { text: text.into(), count }));
         }
@@ -271,12 +276,15 @@
 }
 
 /// Reads a recorded day; every line must fit the scenario.
-pub(crate) fn read_recording(path: &Path, scenario: &Scenario) -> Result<Vec<Recorded>, ScenarioError> {
+pub(crate) fn read_recording(
+    path: &Path,
+    scenario: &Scenario,
+) -> Result<Vec<RecordedMessage>, ScenarioError> {
     let file = path.display().to_string();
     let mut reader = csv::Reader::from_path(path)
         .map_err(|source| ScenarioError::OpenRecording { file: file.clone(), source })?;
-    let mut rows: Vec<Recorded> = Vec::new();
-    for (index, row) in reader.deserialize::<Recorded>().enumerate() {
+    let mut rows: Vec<RecordedMessage> = Vec::new();
+    for (index, row) in reader.deserialize::<RecordedMessage>().enumerate() {
         // The head line is the first, and lines count from 1.
         let line = index + 2;
         let row = row.map_err(|source| ScenarioError::ParseRecording { file: file.clone(), line, source })?;
@@ -291,18 +299,22 @@
     Ok(rows)
 }
 
-fn check_row(row: &Recorded, earliest: f64, scenario: &Scenario) -> Result<(), RecordingInconsistency> {
+fn check_row(
+    row: &RecordedMessage,
+    earliest: f64,
+    scenario: &Scenario,
+) -> Result<(), RecordingInconsistency> {
     let day = earliest..=scenario.length.as_ref().seconds();
     if !day.contains(&row.seconds) {
         return Err(RecordingInconsistency::OutOfOrder { seconds: row.seconds });
     }
-    if !has_class(scenario, &row.lane) {
-        return Err(RecordingInconsistency::UnknownClass { class: row.lane.clone() });
+    if !has_class(scenario, &row.class) {
+        return Err(RecordingInconsistency::UnknownClass { class: row.class.clone() });
     }
-    let group = find_group(scenario, &row.destinations);
+    let group = find_group(scenario, &row.group);
     if group.is_none_or(|group| row.number >= group.count.get()) {
         return Err(RecordingInconsistency::UnknownDestination {
-            group: row.destinations.clone(),
+            group: row.group.clone(),
             number: row.number,
         });
     }
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -1,7 +1,7 @@
 //! What can be wrong with a scenario. Each error's text is one line: the file, the line where one can be told, and
 //! the reason.
 
-use crate::{FORMAT, Span, TroubleKind};
+use crate::{FORMAT, ScriptedFaultKind, Span};
 use std::num::NonZeroU32;
 use thiserror::Error;
 
@@ -109,23 +109,23 @@
     #[error("{subject}: it begins after the day, which lasts {}", String::from(*.length))]
     StartsAfterDay { subject: String, length: Span },
     #[error("{kind}: who is struck?")]
-    NoTarget { kind: TroubleKind },
+    NoTarget { kind: ScriptedFaultKind },
     #[error("{kind}: it strikes {expected}, and {text:?} names none")]
-    WrongTarget { kind: TroubleKind, expected: &'static str, text: String },
+    WrongTarget { kind: ScriptedFaultKind, expected: &'static str, text: String },
     #[error("{kind}: it needs {field}")]
-    MissingField { kind: TroubleKind, field: &'static str },
+    MissingField { kind: ScriptedFaultKind, field: &'static str },
     #[error("{kind}: it takes no {field}")]
-    NeedlessField { kind: TroubleKind, field: &'static str },
+    NeedlessField { kind: ScriptedFaultKind, field: &'static str },
     #[error("{kind}: level {level} is no share: it must lie from 0 to 1")]
-    LevelNoShare { kind: TroubleKind, level: f64 },
+    LevelNoShare { kind: ScriptedFaultKind, level: f64 },
     #[error("{kind}: level 0 does nothing")]
-    ZeroLevel { kind: TroubleKind },
+    ZeroLevel { kind: ScriptedFaultKind },
     #[error("{kind}: it must last a while, and less than the gap to the next")]
-    ImpossibleDuration { kind: TroubleKind },
+    ImpossibleDuration { kind: ScriptedFaultKind },
     #[error("{kind}: there is no lane {class}")]
-    UnknownClass { kind: TroubleKind, class: String },
+    UnknownClass { kind: ScriptedFaultKind, class: String },
     #[error("{kind}: relays are cut off from endpoints, and {text:?} names none")]
-    CutFromRelays { kind: TroubleKind, text: String },
+    CutFromRelays { kind: ScriptedFaultKind, text: String },
     #[error(transparent)]
     Target(#[from] TargetError),
     #[error("{text:?}: there are no destinations called {name}")]
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -11,25 +11,25 @@
 mod defaults;
 mod destinations;
 mod error;
+mod fault;
 mod limit;
 mod message_class;
 mod relays;
 mod rules;
 mod tenant;
 mod traffic;
-mod trouble;
 mod units;
 
 pub use clients::Clients;
 pub use destinations::Group;
 pub use error::{Inconsistency, RecordingInconsistency, ScenarioError, TargetError};
+pub use fault::{FaultTarget, RequiredFields, ScriptedFault, ScriptedFaultKind, TargetKind};
 pub use limit::{Limit, LimitBy, RetryAfterAccuracy};
 pub use message_class::{DeduplicationScope, Idempotency, MessageClass};
 pub use relays::{Discovery, ListedRate, Relays};
 pub use rules::{Decay, Rules};
 pub use tenant::Tenant;
-pub use traffic::{Arrivals, Recorded, Rush, Traffic};
-pub use trouble::{Knobs, Strikes, Trouble, TroubleKind, Whom};
+pub use traffic::{Arrivals, RecordedMessage, Traffic, TrafficPeak};
 pub use units::{Amount, QuantityError, Rate, Share, Span};
 
 use serde::{Deserialize, Serialize};
@@ -46,7 +46,8 @@
     /// The version of the file format.
     pub format: u32,
     /// What the day is meant to show, in a sentence.
-    pub about: String,
+    #[serde(rename = "about")]
+    pub description: String,
     /// Messages are submitted for so long; the day goes on until the last of them has its final answer.
     pub length: Spanned<Span>,
     /// The zones, by name.
@@ -74,13 +75,13 @@
     pub traffic: Traffic,
     /// What goes wrong, and when.
     #[serde(rename = "trouble", default)]
-    pub troubles: Vec<Spanned<Trouble>>,
+    pub faults: Vec<Spanned<ScriptedFault>>,
     /// What the day is called: its file's name without the ending.
     #[serde(skip)]
     pub name: String,
     /// The messages of a recorded day, where `traffic.replay` names one.
     #[serde(skip)]
-    pub recorded: Vec<Recorded>,
+    pub recorded_messages: Vec<RecordedMessage>,
 }
 
 fn here() -> Vec<String> {
@@ -100,7 +101,7 @@
         scenario.name = path.file_stem().map(|n| n.to_string_lossy().into_owned()).unwrap_or_default();
         if let Some(replay) = &scenario.traffic.replay {
             let recording = path.parent().unwrap_or(Path::new("")).join(replay);
-            scenario.recorded = check::read_recording(&recording, &scenario)?;
+            scenario.recorded_messages = check::read_recording(&recording, &scenario)?;
         }
         Ok(scenario)
     }
@@ -133,7 +134,7 @@
     }
 
     /// Destinations in all.
-    pub fn destinations(&self) -> u32 {
+    pub fn destination_count(&self) -> u32 {
         self.groups.iter().map(|g| g.count.get()).sum()
     }
 }
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -17,8 +17,8 @@
     #[serde(default)]
     pub arrivals: Arrivals,
     /// Messages of a clump go to one destination, this many in the mean.
-    #[serde(default)]
-    pub clump: Option<Rate>,
+    #[serde(rename = "clump", default)]
+    pub burst_size: Option<Rate>,
     /// How uneven the destinations of a group are: the exponent of their shares.
     #[serde(default)]
     pub zipf: Amount,
@@ -26,8 +26,8 @@
     #[serde(default = "keys")]
     pub keys: NonZeroU32,
     /// Times of more traffic.
-    #[serde(default)]
-    pub rush: Vec<Spanned<Rush>>,
+    #[serde(rename = "rush", default)]
+    pub peaks: Vec<Spanned<TrafficPeak>>,
     /// A recorded day in place of drawn messages: a CSV file beside the scenario, with a head line
     /// `seconds,lane,destinations,number,key`.
     #[serde(default)]
@@ -46,7 +46,8 @@
     #[default]
     Poisson,
     /// Bursts for one destination, Poisson between them.
-    Clumps,
+    #[serde(rename = "clumps")]
+    Bursts,
     /// At equal intervals.
     Even,
 }
@@ -54,24 +55,27 @@
 /// More traffic for a while.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Rush {
+pub struct TrafficPeak {
     /// When it begins.
     pub from: Span,
     /// When it ends.
     pub to: Span,
     /// The multiple of the usual rate.
-    pub times: Rate,
+    #[serde(rename = "times")]
+    pub multiplier: Rate,
 }
 
 /// A message of a recorded day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Recorded {
+pub struct RecordedMessage {
     /// When it was submitted, from the day's beginning.
     pub seconds: f64,
     /// The name of its message class.
-    pub lane: String,
+    #[serde(rename = "lane")]
+    pub class: String,
     /// The name of its group of destinations.
-    pub destinations: String,
+    #[serde(rename = "destinations")]
+    pub group: String,
     /// The number of its destination in the group.
     pub number: u32,
     /// The key that orders it; 0 for none.
--- a/crates/scenario/tests/refusals.rs
+++ b/crates/scenario/tests/refusals.rs
@@ -1,6 +1,6 @@
 //! Files that can't be: one line each, with the place and the reason, and nothing is read.
 
-use mountshift_scenario::{Scenario, TroubleKind};
+use mountshift_scenario::{Scenario, ScriptedFaultKind};
 use test_case::test_case;
 
 const GOOD: &str = r#"format = 1
@@ -47,12 +47,70 @@
 #[test]
 fn a_good_day_is_read_and_written_back() {
     let day = Scenario::from_text(GOOD, "day.toml").expect("a day");
-    assert_eq!((day.destinations(), day.relays.count.get(), day.troubles.len()), (2, 2, 1));
+    assert_eq!((day.destination_count(), day.relays.count.get(), day.faults.len()), (2, 2, 1));
     let text = day.to_text().expect("a text");
     let again = Scenario::from_text(&text, "again.toml").expect("the same day");
     assert_eq!(again.to_text().expect("a text"), text);
 }
 
+#[test]
+fn written_scenario_keeps_the_field_names_of_the_format() {
+    let traffic = r#"rate = 20
+arrivals = "clumps"
+clump = 3
+
+[[traffic.rush]]
+from = "1 s"
+to = "2 s"
+times = 4
+"#;
+    let more_faults = r#"
+[[trouble]]
+kind = "heavy-tail"
+from = "2 s"
+to = "4 s"
+who = ["banks"]
+each = true
+level = 9
+lane = "notice"
+
+[[trouble]]
+kind = "waves"
+from = "2 s"
+to = "8 s"
+who = ["relays"]
+every = "3 s"
+lasts = "1 s"
+
+[[trouble]]
+kind = "cut"
+from = "2 s"
+to = "4 s"
+who = ["relay/1"]
+off = ["banks/0"]
+"#;
+    let text = GOOD.replacen("rate = 20\n", traffic, 1) + more_faults;
+    let written = Scenario::from_text(&text, "day.toml").expect("a day").to_text().expect("a text");
+    let lines: Vec<&str> = written.lines().collect();
+    for line in [
+        "about = \"a day\"",
+        "arrivals = \"clumps\"",
+        "clump = 3.0",
+        "[[traffic.rush]]",
+        "times = 4.0",
+        "[[trouble]]",
+        "who = [\"banks\"]",
+        "each = true",
+        "each = false",
+        "lane = \"notice\"",
+        "every = \"3 s\"",
+        "lasts = \"1 s\"",
+        "off = [\"banks/0\"]",
+    ] {
+        assert!(lines.contains(&line), "{line} in\n{written}");
+    }
+}
+
 #[test_case("length = \"10 s\"", "length = \"10\"" => "day.toml:3: \"10\" is no span of time; write it as \"1.5 s\", \"200 ms\" or \"2 min\""; "a span without a unit")]
 #[test_case("length = \"10 s\"", "length = \"-1 s\"" => "day.toml:3: \"-1 s\" is no span of time; write it as \"1.5 s\", \"200 ms\" or \"2 min\""; "a negative span")]
 #[test_case("length = \"10 s\"", "length = \"0 s\"" => "day.toml:3: length: a day of no length"; "no length")]
@@ -100,7 +158,10 @@
             .map_err(|e| e.rsplit_once('/').map_or(e.clone(), |p| p.1.to_string()))
     };
     let good = read("0.5,notice,banks,1,0\n2.25,booking,banks,0,7\n").expect("a recorded day");
-    assert_eq!((good.recorded.len(), good.recorded[1].key, good.name.as_str()), (2, 7, "day"));
+    assert_eq!(
+        (good.recorded_messages.len(), good.recorded_messages[1].key, good.name.as_str()),
+        (2, 7, "day")
+    );
     let wrong = |rows| read(rows).expect_err("refused");
     assert_eq!(wrong("0.5,notices,banks,1,0\n"), "day.csv:2: there is no lane notices");
     assert_eq!(read("0.5,notice,banks,2,0\n").expect_err("refused").lines().count(), 1);
@@ -114,9 +175,9 @@
 
 #[test]
 fn every_kind_tells_what_it_does_and_its_own_name() {
-    for kind in TroubleKind::ALL {
+    for kind in ScriptedFaultKind::ALL {
         let text = format!("kind = \"{kind}\"");
-        assert!(!kind.strikes().1.is_empty());
+        assert!(!kind.target_kind_and_description().1.is_empty());
         let line =
             refused(&GOOD.replacen("kind = \"hang\"", &text, 1).replacen("to = \"4 s\"", "to = \"1 s\"", 1));
         assert_eq!(line, format!("day.toml:31: {kind}: it ends before it begins"));
