--- a/crates/invariants/src/parameters.rs
+++ b/crates/invariants/src/parameters.rs
@@ -12,7 +12,7 @@
         /// How long repeats are dropped, from the first attempt that may have run.
         window: Time,
         /// True where only the endpoints of one zone recognise a repeat, false where all of the destination do.
-        by_zone: bool,
+        is_per_zone: bool,
     },
     /// Running it twice does harm.
     NotIdempotent,
--- a/crates/invariants/src/rules/final_answer.rs
+++ b/crates/invariants/src/rules/final_answer.rs
@@ -70,10 +70,13 @@
     /// Counts a message that a restart found untried and that is given up without an attempt.
     fn count_given_up(&mut self, message: u64) {
         let Some(state) = self.messages.get(&message) else { return };
-        if !state.found_untried || !state.attempts.is_empty() || self.now + EARLY_ANSWER >= state.deadline {
+        if !state.recovered_unattempted
+            || !state.attempts.is_empty()
+            || self.now + EARLY_ANSWER >= state.deadline
+        {
             return;
         }
-        self.verdict.given_up_untried += 1;
+        self.verdict.failed_unattempted += 1;
         if self.first_given_up.is_empty() {
             self.first_given_up = state.history.clone();
         }
@@ -84,16 +87,16 @@
         let Some(relay) = self.relays.get(&relay) else { return };
         for message in &relay.messages {
             let Some(state) = self.messages.get_mut(message) else { continue };
-            if state.is_untried() && !state.found_untried {
-                state.found_untried = true;
-                self.verdict.found_untried += 1;
+            if state.is_untried() && !state.recovered_unattempted {
+                state.recovered_unattempted = true;
+                self.verdict.recovered_unattempted += 1;
             }
         }
     }
 
     /// Restarts may give up at most half of what they found untried.
     pub(crate) fn check_given_up(&mut self) {
-        let (found, given_up) = (self.verdict.found_untried, self.verdict.given_up_untried);
+        let (found, given_up) = (self.verdict.recovered_unattempted, self.verdict.failed_unattempted);
         if given_up * 2 > found {
             let history = std::mem::take(&mut self.first_given_up);
             let reason = format!("{given_up} of {found} untried messages given up after restarts");
--- a/crates/invariants/src/rules/single_effect.rs
+++ b/crates/invariants/src/rules/single_effect.rs
@@ -35,8 +35,8 @@
         Idempotency::WithKey { window, .. } if now > first_run.at + window => {
             Some(format!("sent again {:.3} s after it may have run", seconds(now - first_run.at)))
         }
-        Idempotency::WithKey { by_zone, .. } => {
-            let unknown_there = by_zone && first_run.zone != zone;
+        Idempotency::WithKey { is_per_zone, .. } => {
+            let unknown_there = is_per_zone && first_run.zone != zone;
             unknown_there.then(|| "sent again to endpoints that can't know it".into())
         }
     }
@@ -49,8 +49,8 @@
     answer: FinalAnswer,
 ) -> Option<Finding> {
     let may_come_again = match idempotency {
-        Idempotency::Idempotent | Idempotency::WithKey { by_zone: false, .. } => true,
-        Idempotency::WithKey { by_zone: true, .. } | Idempotency::NotIdempotent => {
+        Idempotency::Idempotent | Idempotency::WithKey { is_per_zone: false, .. } => true,
+        Idempotency::WithKey { is_per_zone: true, .. } | Idempotency::NotIdempotent => {
             message.possible_run().is_none()
         }
     };
@@ -72,7 +72,7 @@
             return;
         }
         if self.parameters.classes[usize::from(class)].idempotency == Idempotency::Idempotent {
-            self.verdict.harmless_repeats += u64::from(effects == 2);
+            self.verdict.harmless_duplicates += u64::from(effects == 2);
         } else {
             let reason = format!("took effect {effects} times");
             self.report_message(message, Finding::new(Rule::SingleEffect, reason));
--- a/crates/invariants/src/state/message.rs
+++ b/crates/invariants/src/state/message.rs
@@ -30,7 +30,7 @@
     pub(crate) deadline: Time,
     pub(crate) accepted: bool,
     /// A restart found it accepted and untried.
-    pub(crate) found_untried: bool,
+    pub(crate) recovered_unattempted: bool,
     pub(crate) attempts: Vec<Attempt>,
     /// The relay's present process knows that the message is done.
     pub(crate) known_done: bool,
@@ -61,7 +61,7 @@
             key,
             deadline,
             accepted: false,
-            found_untried: false,
+            recovered_unattempted: false,
             attempts: Vec::new(),
             known_done: false,
             final_answer_given: false,
--- a/crates/invariants/src/verdict.rs
+++ b/crates/invariants/src/verdict.rs
@@ -60,18 +60,18 @@
     /// How often each rule was broken, rule 1 first.
     pub breach_counts: [u64; 6],
     /// Messages that took effect more than once where that does no harm.
-    pub harmless_repeats: u64,
+    pub harmless_duplicates: u64,
     /// Routes that broke down in slow start, whoever caused it.
     pub overloaded_routes: u64,
     /// Messages that restarts found accepted and untried.
-    pub found_untried: u64,
+    pub recovered_unattempted: u64,
     /// Those of them that were given a final answer without an attempt though their time was not up.
-    pub given_up_untried: u64,
+    pub failed_unattempted: u64,
 }
 
 impl Verdict {
     /// True where no rule was broken.
-    pub fn kept(&self) -> bool {
+    pub fn has_no_breaches(&self) -> bool {
         self.breach_counts.iter().all(|count| *count == 0)
     }
 
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -14,8 +14,8 @@
     RuleParameters {
         classes: vec![
             class(Idempotency::Idempotent, false),
-            class(Idempotency::WithKey { window: 5_000_000, by_zone: false }, false),
-            class(Idempotency::WithKey { window: 5_000_000, by_zone: true }, false),
+            class(Idempotency::WithKey { window: 5_000_000, is_per_zone: false }, false),
+            class(Idempotency::WithKey { window: 5_000_000, is_per_zone: true }, false),
             class(Idempotency::NotIdempotent, false),
             class(Idempotency::Idempotent, true),
         ],
--- a/crates/lab/src/day/endpoints.rs
+++ b/crates/lab/src/day/endpoints.rs
@@ -7,7 +7,7 @@
 use crate::host::AttemptEnd;
 use crate::random::Purpose;
 use crate::servers::HeavyTail;
-use crate::world::by_zone;
+use crate::world::deduplicates_per_zone;
 use mountshift::interface::Outcome;
 use mountshift_invariants::Fact;
 use mountshift_scenario::Idempotency;
@@ -228,7 +228,11 @@
             return false;
         }
         let server = &self.servers[endpoint as usize];
-        let scope = if by_zone(class) { u32::from(server.setup.zone) } else { server.setup.destination };
+        let scope = if deduplicates_per_zone(class) {
+            u32::from(server.setup.zone)
+        } else {
+            server.setup.destination
+        };
         let window = class.deduplication_window.map_or(0, mountshift_scenario::Span::us);
         // It is known from its first arrival on, but counts as done only once it took effect: a first attempt that
         // died in the queue must not swallow the second.
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -285,7 +285,7 @@
                 scenario::Idempotency::NotIdempotent => invariants::Idempotency::NotIdempotent,
                 scenario::Idempotency::WithKey => invariants::Idempotency::WithKey {
                     window: class.deduplication_window.map_or(0, mountshift_scenario::Span::us),
-                    by_zone: by_zone(class),
+                    is_per_zone: deduplicates_per_zone(class),
                 },
             },
             in_order: class.in_order,
@@ -329,14 +329,17 @@
         scenario::Idempotency::NotIdempotent => Idempotency::NotIdempotent,
         scenario::Idempotency::WithKey => {
             let window = class.deduplication_window.map_or(Duration::ZERO, |window| window.0);
-            let scope =
-                if by_zone(class) { DeduplicationScope::SameZone } else { DeduplicationScope::AllEndpoints };
+            let scope = if deduplicates_per_zone(class) {
+                DeduplicationScope::SameZone
+            } else {
+                DeduplicationScope::AllEndpoints
+            };
             Idempotency::WithKey { window, scope }
         }
     }
 }
 
 /// True if an idempotency key is known to the endpoints of one zone only, else to all of a destination.
-pub(crate) fn by_zone(class: &scenario::MessageClass) -> bool {
+pub(crate) fn deduplicates_per_zone(class: &scenario::MessageClass) -> bool {
     class.deduplication_scope.as_ref().is_some_and(|g| *g.as_ref() == scenario::DeduplicationScope::SameZone)
 }
--- a/crates/soak/src/installation.rs
+++ b/crates/soak/src/installation.rs
@@ -153,7 +153,7 @@
             idempotency: match plan.effect {
                 "idempotent" => Idempotency::Idempotent,
                 "at_most_once" => Idempotency::NotIdempotent,
-                _ => Idempotency::WithKey { window: micros(plan.window_ms), by_zone: plan.by_zone },
+                _ => Idempotency::WithKey { window: micros(plan.window_ms), is_per_zone: plan.by_zone },
             },
             in_order: plan.in_order,
         };
