--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -206,7 +206,7 @@
             self.calls_in_flight.remove(&number);
         }
         if run == RunState::NeverRan && is_recorded {
-            self.spool.borrow_mut().record_not_run(message.0);
+            self.spool.borrow_mut().record_not_processed(message.0);
         }
         if run == RunState::MayBeRunning {
             self.note_key_rest(number, message, outcome);
@@ -258,7 +258,7 @@
     fn on_stop_requested(&mut self, plan: StopPlan, inputs: &mut Vec<Input>) {
         self.maintenance.borrow_mut().set_stopping();
         // A successor takes over what is held: nothing more is sent from here.
-        if plan.hands_over {
+        if plan.is_handover {
             self.hands_over = true;
             self.files.raise_handover_marker();
             info!("hands over to the process beside it");
