--- a/crates/cli/src/lab/compare.rs
+++ b/crates/cli/src/lab/compare.rs
@@ -65,7 +65,7 @@
     for (class, difference) in &comparison.classes {
         println!("  lane {class:18} {difference}");
     }
-    let (broken_a, broken_b) = comparison.days_broken;
+    let (broken_a, broken_b) = comparison.days_with_breaches;
     println!("days with a broken rule: A {broken_a}, B {broken_b}, of {}", comparison.difference.n);
     println!("{}", comparison.conclusion);
 }
--- a/crates/cli/src/lab/hunt.rs
+++ b/crates/cli/src/lab/hunt.rs
@@ -5,7 +5,7 @@
 use crate::error::CliError;
 use crate::output::{progress_bar, write_file};
 use clap::Args;
-use mountshift_lab::hunt::{self, Found, SearchGoal};
+use mountshift_lab::hunt::{self, SearchGoal, SearchResult};
 use std::path::PathBuf;
 
 #[derive(Args)]
@@ -40,21 +40,21 @@
         write_file(path, &found.scenario.to_text().map_err(CliError::scenario)?)?;
         println!("written to {}; play it with --first-seed {} --seeds 1", path.display(), found.seed);
     }
-    Ok(if found.badness.broken > 0 { Verdict::Bad } else { Verdict::Good })
+    Ok(if found.severity.breach_count > 0 { Verdict::Bad } else { Verdict::Good })
 }
 
-fn show_found(arguments: &HuntArguments, found: &Found) {
-    let badness = found.badness;
+fn show_found(arguments: &HuntArguments, found: &SearchResult) {
+    let severity = found.severity;
     let what_was_found = if arguments.rules {
-        format!("{} breaches", badness.broken)
+        format!("{} breaches", severity.breach_count)
     } else {
-        format!("top {:.3}, {} breaches", badness.top, badness.broken)
+        format!("top {:.3}, {} breaches", severity.omniscient_service, severity.breach_count)
     };
-    let (troubles_before, troubles_after) = found.faults;
+    let (troubles_before, troubles_after) = found.fault_counts;
     println!(
         "{} scripts tried. The worst, cut down from {troubles_before} troubles to {troubles_after}, seed {}: \
          service {:.3}, {what_was_found}",
-        found.tried, found.seed, badness.service
+        found.scripts_tried, found.seed, severity.service
     );
     for fault in &found.scenario.faults {
         let fault = fault.as_ref();
--- a/crates/cli/src/lab/mod.rs
+++ b/crates/cli/src/lab/mod.rs
@@ -111,5 +111,9 @@
 
 /// Good where the project's decisions kept all rules; baselines may break them.
 fn verdict(days: &[DayOutcome]) -> Verdict {
-    if days.iter().filter(|day| is_ours(day)).all(DayOutcome::kept) { Verdict::Good } else { Verdict::Bad }
+    if days.iter().filter(|day| is_ours(day)).all(DayOutcome::has_no_breaches) {
+        Verdict::Good
+    } else {
+        Verdict::Bad
+    }
 }
--- a/crates/cli/src/lab/run.rs
+++ b/crates/cli/src/lab/run.rs
@@ -51,7 +51,7 @@
     }
     bar.finish_and_clear();
     for day in &mut all_days {
-        day.course = None;
+        day.timeline = None;
     }
     if let Some(path) = &arguments.save {
         write_file(path, &to_json(&all_days)?)?;
@@ -77,7 +77,7 @@
     }
     let breaches = days.iter().filter(|day| is_ours(day)).flat_map(|day| &day.breaches);
     for breach in breaches.take(BREACHES_SHOWN) {
-        println!("  rule {} broken at {:.3} s: {}", breach.rule, breach.at_s, breach.why);
+        println!("  rule {} broken at {:.3} s: {}", breach.rule, breach.at_s, breach.reason);
     }
     let messages: u64 = days.iter().map(|day| day.messages).sum();
     println!("  {} days, {messages} messages, {:.1} s", days.len(), elapsed.as_secs_f64());
@@ -92,15 +92,15 @@
         summary.relative_service.map_or("-".to_string(), |place| format!("{place:.2}")),
         summary.attempts_per_message,
         summary.calls_into_outages,
-        summary.fell_over,
-        broken_rules(&summary.days_broken)
+        summary.overloaded_routes,
+        broken_rules(&summary.days_with_breaches)
     )
 }
 
 /// The rules that were broken, counted from 1, and on how many days.
-fn broken_rules(days_broken: &[usize]) -> String {
+fn broken_rules(days_with_breaches: &[usize]) -> String {
     let mut broken = Vec::new();
-    for (position, days) in days_broken.iter().enumerate() {
+    for (position, days) in days_with_breaches.iter().enumerate() {
         if *days > 0 {
             broken.push(format!("{} on {days} days", position + 1));
         }
--- a/crates/cli/src/lab/sweep.rs
+++ b/crates/cli/src/lab/sweep.rs
@@ -94,7 +94,7 @@
     println!("{swept:>16}  {:26} {:>8}  rules  against the first", "service [95%]", "worst 10");
     for (position, (value, days)) in sides.iter().enumerate() {
         let Some(summary) = experiment::summarise(days).into_iter().next() else { continue };
-        let broken = days.iter().filter(|day| !day.kept()).count();
+        let broken = days.iter().filter(|day| !day.has_no_breaches()).count();
         let rules = if broken == 0 { "kept".to_string() } else { format!("{broken} broken") };
         let against_first = if position == 0 {
             String::new()
--- a/crates/cli/src/lab/trace.rs
+++ b/crates/cli/src/lab/trace.rs
@@ -4,7 +4,7 @@
 use crate::Verdict;
 use crate::error::CliError;
 use clap::Args;
-use mountshift_lab::day::{Day, Play, Seen};
+use mountshift_lab::day::{Day, DayObservation, DayOptions};
 use mountshift_lab::{Fact, Time};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -38,14 +38,14 @@
 
 pub(super) fn run(arguments: &TraceArguments) -> Result<Verdict, CliError> {
     let scenario = read_scenario(&arguments.scenario)?;
-    let play = Play { which: arguments.policy.0, seed: arguments.seed, course: false };
+    let play = DayOptions { policy: arguments.policy.0, seed: arguments.seed, keep_timeline: false };
     let day = Day::new(&scenario, play);
     let mut tracer = Tracer::new(arguments, find_destination(&day, arguments)?);
     if !arguments.names_a_subject() {
         return Err(CliError::NoTraceSubject);
     }
-    let mut watch = |at: Time, seen: Seen| tracer.see(at, seen);
-    let outcome = day.watched(&mut watch).play();
+    let mut watch = |at: Time, seen: DayObservation| tracer.see(at, seen);
+    let outcome = day.with_observer(&mut watch).run();
     if tracer.facts_shown == 0 {
         return Err(CliError::EmptyTrace);
     }
@@ -89,16 +89,16 @@
         }
     }
 
-    fn see(&mut self, at: Time, seen: Seen) {
+    fn see(&mut self, at: Time, seen: DayObservation) {
         match seen {
-            Seen::Fact(fact) => {
+            DayObservation::Fact(fact) => {
                 self.learn(fact);
                 if self.arguments.everything || self.concerns(fact) {
                     println!("{:10.4} s  {fact}", seconds(at));
                     self.facts_shown += 1;
                 }
             }
-            Seen::Log(relay, line) => {
+            DayObservation::Log(relay, line) => {
                 if self.arguments.everything || self.is_of_breaker(line) {
                     println!("{:10.4} s  relay {relay} logs: {line}", seconds(at));
                 }
--- a/crates/lab/benches/day.rs
+++ b/crates/lab/benches/day.rs
@@ -1,7 +1,7 @@
 //! What a day of the model costs: the decisions, the judge and the world together, by size.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
-use mountshift_lab::day::{Day, Play};
+use mountshift_lab::day::{Day, DayOptions};
 use mountshift_lab::policy_kind::PolicyKind;
 use mountshift_scenario::Scenario;
 use std::hint::black_box;
@@ -12,10 +12,10 @@
     for name in ["calm", "everything", "crowd-outage"] {
         let path = format!("{}/../../examples/scenarios/{name}.toml", env!("CARGO_MANIFEST_DIR"));
         let scenario = Scenario::read(path.as_ref()).expect("a scenario");
-        let play = Play { which: PolicyKind::Mountshift, seed: 1, course: false };
-        let messages = Day::new(&scenario, play).play().messages;
+        let play = DayOptions { policy: PolicyKind::Mountshift, seed: 1, keep_timeline: false };
+        let messages = Day::new(&scenario, play).run().messages;
         group.throughput(Throughput::Elements(messages));
-        group.bench_function(name, |b| b.iter(|| black_box(Day::new(&scenario, play).play())));
+        group.bench_function(name, |b| b.iter(|| black_box(Day::new(&scenario, play).run())));
     }
     group.finish();
 }
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -47,18 +47,18 @@
 
 /// How a day is to be played.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
+pub struct DayOptions {
     /// The policy that decides at the relays.
-    pub which: PolicyKind,
+    pub policy: PolicyKind,
     /// The seed of everything random.
     pub seed: u64,
     /// Keep the course of the day for a report.
-    pub course: bool,
+    pub keep_timeline: bool,
 }
 
 /// What somebody sees who watches a day.
 #[derive(Clone, Copy, Debug)]
-pub enum Seen<'f> {
+pub enum DayObservation<'f> {
     /// Something happened.
     Fact(&'f Fact),
     /// A relay, by its number, wrote a line to its log.
@@ -66,15 +66,15 @@
 }
 
 /// Sees what happens in a day as it happens.
-pub type Watch<'a> = &'a mut dyn FnMut(Time, Seen<'_>);
+pub type DayObserver<'a> = &'a mut dyn FnMut(Time, DayObservation<'_>);
 
 /// Makes the policy of a relay that starts.
-pub type MakePolicy<'a> = Box<dyn Fn(PolicySettings) -> Box<dyn Policy> + 'a>;
+pub type PolicyFactory<'a> = Box<dyn Fn(PolicySettings) -> Box<dyn Policy> + 'a>;
 
 /// A day that can be played; facts may be watched as they come.
 pub struct Day<'a> {
     world: World<'a>,
-    play: Play,
+    options: DayOptions,
     now: Time,
     events: EventQueue,
     /// What clients want delivered, by time, and what has become of it.
@@ -109,19 +109,20 @@
     statistics: Statistics,
     digest: SipHasher13,
     attempts: u64,
-    watch: Option<Watch<'a>>,
-    make_policy: MakePolicy<'a>,
+    observer: Option<DayObserver<'a>>,
+    policy_factory: PolicyFactory<'a>,
 }
 
 impl<'a> Day<'a> {
     /// A day of a scenario, before its first event.
-    pub fn new(scenario: &'a Scenario, play: Play) -> Day<'a> {
-        let world = World::new(scenario, play.seed);
+    pub fn new(scenario: &'a Scenario, options: DayOptions) -> Day<'a> {
+        let world = World::new(scenario, options.seed);
         let requests = traffic::draw(&world);
         let routes = routes_of(&world);
-        let relays = (0..scenario.relays.count.get()).map(|relay| Relay::new(&world, relay, play.course));
+        let relays =
+            (0..scenario.relays.count.get()).map(|relay| Relay::new(&world, relay, options.keep_timeline));
         Day {
-            play,
+            options,
             now: 0,
             events: EventQueue::default(),
             progress: vec![RequestProgress::default(); requests.len()],
@@ -145,25 +146,25 @@
             statistics: Statistics::new(&world, &requests),
             digest: SipHasher13::new(),
             attempts: 0,
-            watch: None,
-            make_policy: Box::new(move |settings| play.which.build(settings)),
+            observer: None,
+            policy_factory: Box::new(move |settings| options.policy.build(settings)),
             requests,
             world,
         }
     }
 
     /// Shows every fact, and every line of the relays' logs, to somebody as it comes.
-    pub fn watched(mut self, watch: Watch<'a>) -> Day<'a> {
+    pub fn with_observer(mut self, observer: DayObserver<'a>) -> Day<'a> {
         for relay in &mut self.relays {
             relay.keep_log();
         }
-        self.watch = Some(watch);
+        self.observer = Some(observer);
         self
     }
 
     /// Has relays decide by something else than the policy named.
-    pub fn with_policy(mut self, make_policy: MakePolicy<'a>) -> Day<'a> {
-        self.make_policy = make_policy;
+    pub fn with_policy(mut self, policy_factory: PolicyFactory<'a>) -> Day<'a> {
+        self.policy_factory = policy_factory;
         self
     }
 
@@ -174,7 +175,7 @@
     }
 
     /// Plays the day to its end.
-    pub fn play(mut self) -> DayOutcome {
+    pub fn run(mut self) -> DayOutcome {
         self.set_up();
         let end = self.end();
         while let Some(next) = self.next_time().filter(|next| *next <= end) {
@@ -298,8 +299,8 @@
         let duplicates = self.progress.iter().filter(|progress| progress.effects > 1).count() as u64;
         DayOutcome {
             scenario: self.world.scenario.name.clone(),
-            policy: self.play.which.name().to_string(),
-            seed: self.play.seed,
+            policy: self.options.policy.name().to_string(),
+            seed: self.options.seed,
             service: self.statistics.service(),
             worst_window: self.statistics.worst_window(),
             classes: self.statistics.classes(&self.world),
@@ -317,12 +318,16 @@
             failed: self.statistics.failed,
             rejected: self.statistics.rejected,
             duplicates,
-            rules: verdict.breach_counts,
+            breach_counts: verdict.breach_counts,
             breaches: breaches(&verdict),
-            fell_over: verdict.overloaded_routes,
+            overloaded_routes: verdict.overloaded_routes,
             connections: self.statistics.connections,
             digest: format!("{:016x}{:016x}", digest.h1, digest.h2),
-            course: if self.play.course { Some(self.statistics.course(&self.world)) } else { None },
+            timeline: if self.options.keep_timeline {
+                Some(self.statistics.timeline(&self.world))
+            } else {
+                None
+            },
         }
     }
 }
--- a/crates/lab/src/day/relays.rs
+++ b/crates/lab/src/day/relays.rs
@@ -3,7 +3,7 @@
 use super::clients::ClientState;
 use super::events::Event;
 use super::trace::attempt_end_name;
-use super::{Day, Seen};
+use super::{Day, DayObservation};
 use crate::Time;
 use crate::host::{Relay, RelayEffect};
 use crate::policy::{EndpointTruth, GroundTruth};
@@ -45,7 +45,7 @@
 impl Day<'_> {
     /// Plays the steps of all relays that are due.
     pub(super) fn step_relays(&mut self) {
-        if self.play.which.is_omniscient() {
+        if self.options.policy.is_omniscient() {
             self.step_relays_with_truth();
             return;
         }
@@ -107,13 +107,13 @@
 
     /// Starts a relay's process, with what its spool and its endpoint list hold.
     pub(super) fn start_relay(&mut self, relay: u32) {
-        let sees_all = self.play.which.is_omniscient();
+        let sees_all = self.options.policy.is_omniscient();
         if sees_all {
             self.refresh_truth();
         }
         let mut truth = std::mem::take(&mut self.truth);
         let seen = if sees_all { Some(&mut truth) } else { None };
-        self.relays[relay as usize].start(&self.world, &*self.make_policy, self.now, seen);
+        self.relays[relay as usize].start(&self.world, &*self.policy_factory, self.now, seen);
         self.truth = truth;
         self.perform_actions(relay, usize::MAX);
     }
@@ -167,8 +167,8 @@
     }
 
     fn record_log_line(&mut self, relay: u32, line: &str) {
-        if let Some(watch) = self.watch.as_mut() {
-            watch(self.now, Seen::Log(relay, line));
+        if let Some(observer) = self.observer.as_mut() {
+            observer(self.now, DayObservation::Log(relay, line));
         }
         self.statistics.read_log_line(&self.world, relay, self.now, line);
     }
@@ -195,7 +195,7 @@
         let count = KillPoint::ALL.len();
         let drawn = self.world.random.index(Purpose::KillPoint, count, fault as u64, u64::from(relay));
         let stalled = self.relays[relay as usize].stalled_until > self.now;
-        if stalled || self.play.which.is_omniscient() {
+        if stalled || self.options.policy.is_omniscient() {
             return;
         }
         if let Some(completed) = KillPoint::ALL[drawn].completed_actions() {
--- a/crates/lab/src/day/trace.rs
+++ b/crates/lab/src/day/trace.rs
@@ -1,6 +1,6 @@
 //! The trace of a day: every fact is hashed, shown to whoever watches, and checked against the rules.
 
-use super::{Day, Seen};
+use super::{Day, DayObservation};
 use mountshift_invariants::{AttemptOutcome, Fact, FinalAnswer};
 use std::hash::Hasher;
 
@@ -11,8 +11,8 @@
         for word in digest_words(fact) {
             self.digest.write_u64(word);
         }
-        if let Some(watch) = self.watch.as_mut() {
-            watch(self.now, Seen::Fact(&fact));
+        if let Some(observer) = self.observer.as_mut() {
+            observer(self.now, DayObservation::Fact(&fact));
         }
         self.checker.observe(self.now, fact);
     }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -2,7 +2,7 @@
 //! told apart, and sweeps of one value. Serialized names are part of the output format and differ from the fields'
 //! where those follow newer terms.
 
-use crate::day::{Day, Play};
+use crate::day::{Day, DayOptions};
 use crate::error::LabError;
 use crate::outcome::DayOutcome;
 use crate::policy_kind::PolicyKind;
@@ -23,19 +23,19 @@
 const MIN_SERVICE_RANGE: f64 = 0.02;
 
 /// Plays a scenario with every policy on every seed, on all cores; `done` hears of each day that is over. The
-/// course of the day is kept for the first seed where `course` is set.
+/// course of the day is kept for the first seed where `keep_timeline` is set.
 pub fn run(
     scenario: &Scenario,
     policies: &[PolicyKind],
     seeds: &[u64],
-    course: bool,
+    keep_timeline: bool,
     done: &(dyn Fn(&DayOutcome) + Sync),
 ) -> Vec<DayOutcome> {
     let days = policies.iter().flat_map(|which| seeds.iter().map(|seed| (*which, *seed)));
     let days: Vec<(PolicyKind, u64)> = days.collect();
     let play = |(which, seed): (PolicyKind, u64)| {
-        let keep_course = course && Some(&seed) == seeds.first();
-        let outcome = Day::new(scenario, Play { which, seed, course: keep_course }).play();
+        let is_kept = keep_timeline && Some(&seed) == seeds.first();
+        let outcome = Day::new(scenario, DayOptions { policy: which, seed, keep_timeline: is_kept }).run();
         done(&outcome);
         outcome
     };
@@ -106,12 +106,14 @@
     /// The mean of calls that reached an endpoint while its route was out.
     pub calls_into_outages: f64,
     /// The mean of routes that were overloaded during slow start.
-    pub fell_over: f64,
+    #[serde(rename = "fell_over")]
+    pub overloaded_routes: f64,
     /// The mean of requests that took effect under more than one message id.
     #[serde(rename = "twins")]
     pub duplicates: f64,
     /// Days on which each rule was broken.
-    pub days_broken: [usize; 6],
+    #[serde(rename = "days_broken")]
+    pub days_with_breaches: [usize; 6],
     /// The service of each message class.
     #[serde(rename = "lanes")]
     pub classes: BTreeMap<String, Estimate>,
@@ -168,9 +170,11 @@
         worst_window: estimate(&|day| day.worst_window),
         attempts_per_message: mean(&|day| day.attempts as f64 / (day.messages as f64).max(1.0)),
         calls_into_outages: mean(&|day| day.calls_into_outages as f64),
-        fell_over: mean(&|day| day.fell_over as f64),
+        overloaded_routes: mean(&|day| day.overloaded_routes as f64),
         duplicates: mean(&|day| day.duplicates as f64),
-        days_broken: std::array::from_fn(|rule| days.iter().filter(|day| day.rules[rule] > 0).count()),
+        days_with_breaches: std::array::from_fn(|rule| {
+            days.iter().filter(|day| day.breach_counts[rule] > 0).count()
+        }),
         classes: classes
             .map(|(index, class)| (class.name.clone(), estimate(&|day| day.classes[index].service)))
             .collect(),
@@ -195,7 +199,8 @@
     #[serde(rename = "lanes")]
     pub classes: BTreeMap<String, Estimate>,
     /// Days with a broken rule, of A and of B.
-    pub days_broken: (usize, usize),
+    #[serde(rename = "days_broken")]
+    pub days_with_breaches: (usize, usize),
 }
 
 /// Two days of the same scenario and seed.
@@ -228,7 +233,7 @@
         worst_window: differences(&|day| day.worst_window),
         conclusion: conclusion(&difference),
         classes: classes.collect(),
-        days_broken: (count_broken(&days_a), count_broken(&days_b)),
+        days_with_breaches: (count_broken(&days_a), count_broken(&days_b)),
         difference,
     })
 }
@@ -245,7 +250,7 @@
 }
 
 fn count_broken(days: &[&DayOutcome]) -> usize {
-    days.iter().filter(|day| !day.kept()).count()
+    days.iter().filter(|day| !day.has_no_breaches()).count()
 }
 
 fn conclusion(difference: &Estimate) -> String {
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,7 +1,7 @@
 //! Searches scripts of troubles for days that break a rule, or lose most against the policy that sees all, and
 //! cuts the found day down to the fewest and shortest troubles that still do it.
 
-use crate::day::{Day, Play};
+use crate::day::{Day, DayOptions};
 use crate::policy_kind::PolicyKind;
 use crate::random::{Purpose, SeededRandom};
 use mountshift_scenario::{
@@ -35,56 +35,56 @@
 
 /// How bad a day is: rules broken count for more than any loss.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Badness {
+pub struct DaySeverity {
     /// How often rules were broken.
-    pub broken: u64,
+    pub breach_count: u64,
     /// The service of the project's decisions.
     pub service: f64,
     /// The service of the policy that sees all.
-    pub top: f64,
+    pub omniscient_service: f64,
 }
 
-impl Badness {
+impl DaySeverity {
     /// Service lost against the top.
     pub fn loss(&self) -> f64 {
-        self.top - self.service
+        self.omniscient_service - self.service
     }
 
     fn rank(&self, goal: SearchGoal) -> f64 {
         match goal {
             SearchGoal::Loss => self.loss(),
-            SearchGoal::Rules => self.broken as f64 * BROKEN_RULE_RANK + self.loss() * LOSS_RANK,
+            SearchGoal::Rules => self.breach_count as f64 * BROKEN_RULE_RANK + self.loss() * LOSS_RANK,
         }
     }
 
-    fn is_as_bad_as(&self, first: &Badness, goal: SearchGoal) -> bool {
+    fn is_as_bad_as(&self, first: &DaySeverity, goal: SearchGoal) -> bool {
         match goal {
             SearchGoal::Loss => self.loss() >= MIN_LOSS_KEPT * first.loss(),
-            SearchGoal::Rules => self.broken > 0,
+            SearchGoal::Rules => self.breach_count > 0,
         }
     }
 }
 
 /// A day that was found.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct SearchResult {
     /// The scenario with the troubles that are left.
     pub scenario: Scenario,
     /// The seed of the day.
     pub seed: u64,
     /// How bad it is.
-    pub badness: Badness,
+    pub severity: DaySeverity,
     /// The number of scripts that were tried.
-    pub tried: usize,
+    pub scripts_tried: usize,
     /// Troubles before and after it was cut down.
-    pub faults: (usize, usize),
+    pub fault_counts: (usize, usize),
 }
 
 /// A script of troubles that was played.
 struct Candidate {
     faults: Vec<ScriptedFault>,
     seed: u64,
-    badness: Badness,
+    severity: DaySeverity,
 }
 
 /// Tries `budget` scripts on the world of `base`, in parallel, and cuts the worst down. None if nothing bad
@@ -95,7 +95,7 @@
     budget: usize,
     seed: u64,
     done: &(dyn Fn() + Sync),
-) -> Option<Found> {
+) -> Option<SearchResult> {
     let numbers = (0..budget as u64).into_par_iter();
     let candidates: Vec<Candidate> = numbers
         .map(|number| {
@@ -105,18 +105,18 @@
         })
         .collect();
     let worst =
-        candidates.into_iter().max_by(|a, b| a.badness.rank(goal).total_cmp(&b.badness.rank(goal)))?;
-    if goal == SearchGoal::Rules && worst.badness.broken == 0 {
+        candidates.into_iter().max_by(|a, b| a.severity.rank(goal).total_cmp(&b.severity.rank(goal)))?;
+    if goal == SearchGoal::Rules && worst.severity.breach_count == 0 {
         return None;
     }
     let before = worst.faults.len();
-    let reduced = Reduction { base, goal, first: worst.badness, current: worst }.reduce();
-    Some(Found {
+    let reduced = Reduction { base, goal, first: worst.severity, current: worst }.reduce();
+    Some(SearchResult {
         scenario: with_faults(base, &reduced.faults),
         seed: reduced.seed,
-        badness: reduced.badness,
-        tried: budget,
-        faults: (before, reduced.faults.len()),
+        severity: reduced.severity,
+        scripts_tried: budget,
+        fault_counts: (before, reduced.faults.len()),
     })
 }
 
@@ -125,15 +125,19 @@
     let count = rng.random_range(1..=MAX_TROUBLES);
     let faults: Vec<ScriptedFault> = (0..count).map(|_| draw_fault(base, &mut rng)).collect();
     let seed = u64::from(rng.random::<u32>());
-    let badness = play(&with_faults(base, &faults), seed, goal);
-    Candidate { faults, seed, badness }
+    let severity = play(&with_faults(base, &faults), seed, goal);
+    Candidate { faults, seed, severity }
 }
 
-fn play(scenario: &Scenario, seed: u64, goal: SearchGoal) -> Badness {
-    let day = |which| Day::new(scenario, Play { which, seed, course: false }).play();
+fn play(scenario: &Scenario, seed: u64, goal: SearchGoal) -> DaySeverity {
+    let day = |which| Day::new(scenario, DayOptions { policy: which, seed, keep_timeline: false }).run();
     let ours = day(PolicyKind::Mountshift);
     let top = if goal == SearchGoal::Loss { day(PolicyKind::Omniscient).service } else { 1.0 };
-    Badness { broken: ours.rules.iter().sum(), service: ours.service, top }
+    DaySeverity {
+        breach_count: ours.breach_counts.iter().sum(),
+        service: ours.service,
+        omniscient_service: top,
+    }
 }
 
 fn with_faults(base: &Scenario, faults: &[ScriptedFault]) -> Scenario {
@@ -224,7 +228,7 @@
     base: &'s Scenario,
     goal: SearchGoal,
     /// How bad the day was as it was found.
-    first: Badness,
+    first: DaySeverity,
     current: Candidate,
 }
 
@@ -271,12 +275,12 @@
 
     /// Plays the day with other troubles and keeps them if it is about as bad; true if it is.
     fn accept_if_bad(&mut self, faults: Vec<ScriptedFault>) -> bool {
-        let badness = play(&with_faults(self.base, &faults), self.current.seed, self.goal);
-        if !badness.is_as_bad_as(&self.first, self.goal) {
+        let severity = play(&with_faults(self.base, &faults), self.current.seed, self.goal);
+        if !severity.is_as_bad_as(&self.first, self.goal) {
             return false;
         }
         self.current.faults = faults;
-        self.current.badness = badness;
+        self.current.severity = severity;
         true
     }
 }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -44,24 +44,26 @@
     #[serde(rename = "twins")]
     pub duplicates: u64,
     /// How often each rule was broken, rule 1 first.
-    pub rules: [u64; 6],
+    #[serde(rename = "rules")]
+    pub breach_counts: [u64; 6],
     /// What was broken, in words, with the history that shows it.
     pub breaches: Vec<BreachOutcome>,
     /// Routes that were overloaded during slow start.
-    pub fell_over: u64,
+    #[serde(rename = "fell_over")]
+    pub overloaded_routes: u64,
     /// Connections opened.
     pub connections: u64,
     /// Of all facts in their order: the same day played again gives the same.
     pub digest: String,
     /// What a report draws; left out of results that are kept for comparisons.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub course: Option<Course>,
+    #[serde(rename = "course", default, skip_serializing_if = "Option::is_none")]
+    pub timeline: Option<DayTimeline>,
 }
 
 impl DayOutcome {
     /// True if no rule was broken.
-    pub fn kept(&self) -> bool {
-        self.rules.iter().all(|n| *n == 0)
+    pub fn has_no_breaches(&self) -> bool {
+        self.breach_counts.iter().all(|n| *n == 0)
     }
 }
 
@@ -92,14 +94,16 @@
     /// When, in seconds of the day.
     pub at_s: f64,
     /// What was done against the rule.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// The history that shows it, a line for each fact.
-    pub story: Vec<String>,
+    #[serde(rename = "story")]
+    pub history: Vec<String>,
 }
 
 /// The course of a day, second by second.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Course {
+pub struct DayTimeline {
     /// By message class, by second of arrival: worth submitted, worth delivered.
     #[serde(rename = "lanes")]
     pub classes: Vec<Vec<(f64, f64)>>,
@@ -118,7 +122,7 @@
     #[serde(rename = "messages")]
     pub submissions: Vec<f64>,
     /// By destination that was struck: calls that reached it, and what it could work off.
-    pub routes: Vec<RouteCourse>,
+    pub routes: Vec<RouteTimeline>,
     /// Breakers: relay, destination, second, state.
     pub breakers: Vec<BreakerStep>,
     /// Troubles: kind, whom, from, to.
@@ -128,11 +132,12 @@
 
 /// The load of a route, second by second.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct RouteCourse {
+pub struct RouteTimeline {
     /// The destination's name.
     pub name: String,
     /// Calls that reached it.
-    pub reached: Vec<f64>,
+    #[serde(rename = "reached")]
+    pub calls: Vec<f64>,
     /// Calls that it could work off.
     pub capacity: Vec<f64>,
 }
@@ -156,7 +161,8 @@
     /// What it is, as scenario files call it.
     pub kind: String,
     /// Whom it strikes, as scenario files name them.
-    pub whom: String,
+    #[serde(rename = "whom")]
+    pub targets: String,
     /// When it begins, in seconds of the day.
     pub from_s: f64,
     /// When it ends, in seconds of the day.
@@ -169,8 +175,8 @@
     let breach = |b: &mountshift_invariants::Breach| BreachOutcome {
         rule: b.rule,
         at_s: b.at as f64 / 1e6,
-        why: b.reason.clone(),
-        story: b.history.iter().map(line).collect(),
+        reason: b.reason.clone(),
+        history: b.history.iter().map(line).collect(),
     };
     verdict.breaches.iter().map(breach).collect()
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -5,7 +5,7 @@
 
 use crate::error::LabError;
 use crate::experiment::{Summary, summarise};
-use crate::outcome::{BreachOutcome, Course, DayOutcome, FaultSpan, PartOutcome};
+use crate::outcome::{BreachOutcome, DayOutcome, DayTimeline, FaultSpan, PartOutcome};
 use crate::policy_kind::PolicyKind;
 use minijinja::{Environment, Value, context};
 use mountshift_scenario::Scenario;
@@ -22,7 +22,7 @@
 /// # Errors
 /// If a plot or the page can't be made, or no day is there.
 pub fn page(scenario: &Scenario, days: &[DayOutcome]) -> Result<String, LabError> {
-    let with_course = days.iter().find(|day| day.course.is_some());
+    let with_course = days.iter().find(|day| day.timeline.is_some());
     let shown = with_course.or(days.first()).ok_or(LabError::NoDays)?;
     let ours = PolicyKind::Mountshift.name();
     let days_of_ours: Vec<&DayOutcome> = days.iter().filter(|day| day.policy == ours).collect();
@@ -30,7 +30,7 @@
     let seeds: Vec<String> = seeds.iter().map(u64::to_string).collect();
     let policies: Vec<Value> = summarise(days).iter().map(policy_row).collect();
     let classes: Vec<Value> = shown.classes.iter().chain(&shown.tenants).map(part_row).collect();
-    let faults = shown.course.as_ref().map_or(&[][..], |course| &course.faults);
+    let faults = shown.timeline.as_ref().map_or(&[][..], |timeline| &timeline.faults);
     let faults: Vec<Value> = faults.iter().map(fault_row).collect();
     let mut environment = Environment::new();
     environment.set_auto_escape_callback(|_| minijinja::AutoEscape::Html);
@@ -38,16 +38,16 @@
     let page = environment.get_template("page").map_err(LabError::report)?;
     page.render(context! {
         name => scenario.name.as_str(), about => scenario.description.as_str(), days => days.len(),
-        seeds => seeds.join(", "), ours => ours, kept => days_of_ours.iter().all(|day| day.kept()),
+        seeds => seeds.join(", "), ours => ours, kept => days_of_ours.iter().all(|day| day.has_no_breaches()),
         policies => policies, lanes => classes, tenants => !shown.tenants.is_empty(), seed => shown.seed,
-        figures => figures(scenario, shown.course.as_ref())?, troubles => faults,
+        figures => figures(scenario, shown.timeline.as_ref())?, troubles => faults,
         breaches => breach_rows(&days_of_ours),
     })
     .map_err(LabError::report)
 }
 
 fn policy_row(summary: &Summary) -> Value {
-    let broken = summary.days_broken.iter().enumerate().filter(|(_, days)| **days > 0);
+    let broken = summary.days_with_breaches.iter().enumerate().filter(|(_, days)| **days > 0);
     let broken: Vec<String> = broken.map(|(rule, days)| format!("{} ({days})", rule + 1)).collect();
     let place = summary.relative_service.map_or("too close".to_string(), |place| format!("{place:.2}"));
     context! {
@@ -57,7 +57,7 @@
         place => place,
         legs => format!("{:.2}", summary.attempts_per_message),
         into => format!("{:.0}", summary.calls_into_outages),
-        fell => format!("{:.1}", summary.fell_over),
+        fell => format!("{:.1}", summary.overloaded_routes),
         broken => if broken.is_empty() { "none".to_string() } else { broken.join(", ") },
     }
 }
@@ -85,7 +85,7 @@
 fn fault_row(fault: &FaultSpan) -> Value {
     context! {
         kind => fault.kind.as_str(),
-        whom => fault.whom.as_str(),
+        whom => fault.targets.as_str(),
         from_s => fault.from_s,
         to_s => fault.to_s,
     }
@@ -97,19 +97,19 @@
 }
 
 fn breach_row(day: &DayOutcome, breach: &BreachOutcome) -> Value {
-    let skipped = breach.story.len().saturating_sub(MAX_STORY_LINES);
+    let skipped = breach.history.len().saturating_sub(MAX_STORY_LINES);
     context! {
         rule => breach.rule,
         at => format!("{:.3}", breach.at_s),
         policy => day.policy.as_str(),
         seed => day.seed,
-        why => breach.why.as_str(),
-        story => breach.story[skipped..].join("\n"),
+        why => breach.reason.as_str(),
+        story => breach.history[skipped..].join("\n"),
     }
 }
 
-fn figures(scenario: &Scenario, course: Option<&Course>) -> Result<Vec<Value>, LabError> {
-    let Some(course) = course else { return Ok(Vec::new()) };
-    let charts = charts::draw(scenario, course)?;
+fn figures(scenario: &Scenario, timeline: Option<&DayTimeline>) -> Result<Vec<Value>, LabError> {
+    let Some(timeline) = timeline else { return Ok(Vec::new()) };
+    let charts = charts::draw(scenario, timeline)?;
     Ok(charts.into_iter().map(|chart| context! { svg => chart.svg, caption => chart.caption }).collect())
 }
--- a/crates/lab/src/report/charts.rs
+++ b/crates/lab/src/report/charts.rs
@@ -1,7 +1,7 @@
 //! The charts of a report, as SVG.
 
 use crate::error::LabError;
-use crate::outcome::{BreakerStep, Course, RouteCourse};
+use crate::outcome::{BreakerStep, DayTimeline, RouteTimeline};
 use mountshift_scenario::Scenario;
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -56,74 +56,74 @@
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
 /// All charts of a day's course.
-pub(super) fn draw(scenario: &Scenario, course: &Course) -> Result<Vec<Chart>, LabError> {
-    let mut charts = vec![class_chart(scenario, course)?];
-    if !course.tenants.is_empty() {
-        charts.push(tenant_chart(scenario, course)?);
+pub(super) fn draw(scenario: &Scenario, timeline: &DayTimeline) -> Result<Vec<Chart>, LabError> {
+    let mut charts = vec![class_chart(scenario, timeline)?];
+    if !timeline.tenants.is_empty() {
+        charts.push(tenant_chart(scenario, timeline)?);
     }
-    charts.push(queue_chart(course)?);
-    charts.push(attempt_chart(course)?);
-    if !course.breakers.is_empty() {
-        charts.push(breaker_chart(course)?);
+    charts.push(queue_chart(timeline)?);
+    charts.push(attempt_chart(timeline)?);
+    if !timeline.breakers.is_empty() {
+        charts.push(breaker_chart(timeline)?);
     }
-    let loaded = course.routes.iter().filter(|route| route.reached.iter().sum::<f64>() > 0.0);
+    let loaded = timeline.routes.iter().filter(|route| route.calls.iter().sum::<f64>() > 0.0);
     for route in loaded.take(MAX_ROUTES) {
-        charts.push(route_chart(course, route)?);
+        charts.push(route_chart(timeline, route)?);
     }
     Ok(charts)
 }
 
-fn class_chart(scenario: &Scenario, course: &Course) -> Result<Chart, LabError> {
+fn class_chart(scenario: &Scenario, timeline: &DayTimeline) -> Result<Chart, LabError> {
     let names = scenario.classes.iter().map(|class| class.name.as_str());
-    let lines = service_lines(names, &course.classes);
+    let lines = service_lines(names, &timeline.classes);
     Ok(Chart {
-        svg: line_chart(course, "share of worth delivered", Some(SHARE_TOP), &lines)?,
+        svg: line_chart(timeline, "share of worth delivered", Some(SHARE_TOP), &lines)?,
         caption: "Service by lane and second of arrival (over three seconds). Shaded: troubles.".to_string(),
     })
 }
 
-fn tenant_chart(scenario: &Scenario, course: &Course) -> Result<Chart, LabError> {
+fn tenant_chart(scenario: &Scenario, timeline: &DayTimeline) -> Result<Chart, LabError> {
     let names = scenario.tenants.iter().map(|tenant| tenant.name.as_str());
-    let lines = service_lines(names, &course.tenants);
+    let lines = service_lines(names, &timeline.tenants);
     Ok(Chart {
-        svg: line_chart(course, "share of worth", Some(SHARE_TOP), &lines)?,
+        svg: line_chart(timeline, "share of worth", Some(SHARE_TOP), &lines)?,
         caption: "Service by tenant.".to_string(),
     })
 }
 
-fn queue_chart(course: &Course) -> Result<Chart, LabError> {
-    let lines = [Line::new("held", &course.queued), Line::new("calls out", &course.calls_in_flight)];
+fn queue_chart(timeline: &DayTimeline) -> Result<Chart, LabError> {
+    let lines = [Line::new("held", &timeline.queued), Line::new("calls out", &timeline.calls_in_flight)];
     Ok(Chart {
-        svg: line_chart(course, "messages", None, &lines)?,
+        svg: line_chart(timeline, "messages", None, &lines)?,
         caption: "Messages held and calls out, over all relays.".to_string(),
     })
 }
 
-fn attempt_chart(course: &Course) -> Result<Chart, LabError> {
+fn attempt_chart(timeline: &DayTimeline) -> Result<Chart, LabError> {
     let per_message = |second: usize| {
-        let attempts = course.attempts.get(second).copied().unwrap_or(0.0);
-        attempts / course.submissions[second].max(1.0)
+        let attempts = timeline.attempts.get(second).copied().unwrap_or(0.0);
+        attempts / timeline.submissions[second].max(1.0)
     };
-    let attempts: Vec<f64> = (0..course.submissions.len()).map(per_message).collect();
+    let attempts: Vec<f64> = (0..timeline.submissions.len()).map(per_message).collect();
     let lines = [Line::new("legs for each message handed in", &attempts)];
     Ok(Chart {
-        svg: line_chart(course, "legs", None, &lines)?,
+        svg: line_chart(timeline, "legs", None, &lines)?,
         caption: "Legs that went out in a second for each message handed in then.".to_string(),
     })
 }
 
-fn breaker_chart(course: &Course) -> Result<Chart, LabError> {
+fn breaker_chart(timeline: &DayTimeline) -> Result<Chart, LabError> {
     Ok(Chart {
-        svg: band_chart(course)?,
+        svg: band_chart(timeline)?,
         caption: "Breakers by destination: share of relays with it open (red) or half-open (amber)."
             .to_string(),
     })
 }
 
-fn route_chart(course: &Course, route: &RouteCourse) -> Result<Chart, LabError> {
-    let lines = [Line::new("calls", &route.reached), Line::new("capacity", &route.capacity)];
+fn route_chart(timeline: &DayTimeline, route: &RouteTimeline) -> Result<Chart, LabError> {
+    let lines = [Line::new("calls", &route.calls), Line::new("capacity", &route.capacity)];
     Ok(Chart {
-        svg: line_chart(course, "calls a second", None, &lines)?,
+        svg: line_chart(timeline, "calls a second", None, &lines)?,
         caption: format!(
             "Calls that reached {} and what it could work off: nothing while out, less while cold.",
             route.name
@@ -161,13 +161,13 @@
 
 /// Shades the spans of troubles; `pixel` gives the place of a second and a value on the area.
 fn shade_faults(
-    course: &Course,
+    timeline: &DayTimeline,
     area: &Area,
     last_second: f64,
     top: f64,
     pixel: impl Fn(f64, f64) -> (i32, i32),
 ) -> Result<(), LabError> {
-    for fault in &course.faults {
+    for fault in &timeline.faults {
         let corners = [pixel(fault.from_s.min(last_second), top), pixel(fault.to_s.min(last_second), 0.0)];
         let shade = Rectangle::new(corners, TROUBLE_COLOUR.mix(0.09).filled());
         area.draw(&shade).map_err(LabError::report)?;
@@ -176,7 +176,7 @@
 }
 
 fn line_chart(
-    course: &Course,
+    timeline: &DayTimeline,
     unit: &str,
     fixed_top: Option<f64>,
     lines: &[Line],
@@ -195,7 +195,9 @@
             .map_err(LabError::report)?;
         let mut mesh = chart.configure_mesh();
         mesh.x_desc("seconds").y_desc(unit).light_line_style(WHITE).draw().map_err(LabError::report)?;
-        shade_faults(course, area, last_second, top, |second, value| chart.backend_coord(&(second, value)))?;
+        shade_faults(timeline, area, last_second, top, |second, value| {
+            chart.backend_coord(&(second, value))
+        })?;
         for (index, line) in lines.iter().enumerate() {
             let style = LINE_COLOURS[index % LINE_COLOURS.len()].stroke_width(2);
             let points = line.values.iter().enumerate().filter(|(_, value)| value.is_finite());
@@ -217,9 +219,9 @@
 }
 
 /// The destinations whose breakers changed most, by name.
-fn bands(course: &Course) -> Vec<Band<'_>> {
+fn bands(timeline: &DayTimeline) -> Vec<Band<'_>> {
     let mut by_destination: BTreeMap<&str, Vec<&BreakerStep>> = BTreeMap::new();
-    for step in &course.breakers {
+    for step in &timeline.breakers {
         by_destination.entry(&step.destination).or_default().push(step);
     }
     let bands = by_destination.into_iter().map(|(destination, steps)| Band { destination, steps });
@@ -231,10 +233,10 @@
 }
 
 /// Open and half-open breakers by destination over time.
-fn band_chart(course: &Course) -> Result<String, LabError> {
-    let bands = bands(course);
-    let seconds = course.queued.len().max(2) as f64;
-    let relays: BTreeSet<u32> = course.breakers.iter().map(|step| step.relay).collect();
+fn band_chart(timeline: &DayTimeline) -> Result<String, LabError> {
+    let bands = bands(timeline);
+    let seconds = timeline.queued.len().max(2) as f64;
+    let relays: BTreeSet<u32> = timeline.breakers.iter().map(|step| step.relay).collect();
     let relay_count = relays.len().max(1) as f64;
     svg(BANDS_HEIGHT + BAND_ROW_HEIGHT * bands.len() as u32, |area| {
         let mut chart = ChartBuilder::on(area)
--- a/crates/lab/src/statistics.rs
+++ b/crates/lab/src/statistics.rs
@@ -1,7 +1,7 @@
 //! Counts while a day is played: worth submitted and delivered, and the course of the day by seconds.
 
 use crate::Time;
-use crate::outcome::{BreakerStep, Course, FaultSpan, PartOutcome, RouteCourse};
+use crate::outcome::{BreakerStep, DayTimeline, FaultSpan, PartOutcome, RouteTimeline};
 use crate::traffic::Request;
 use crate::world::World;
 use hdrhistogram::Histogram;
@@ -49,7 +49,7 @@
     delivered: u64,
     delivery_times: Option<Histogram<u64>>,
     /// By second of arrival.
-    course: Vec<Worth>,
+    timeline: Vec<Worth>,
 }
 
 impl Part {
@@ -59,20 +59,20 @@
             requests: 0,
             delivered: 0,
             delivery_times: Histogram::new_with_bounds(1, MAX_DELIVERY_TIME, DELIVERY_TIME_DIGITS).ok(),
-            course: vec![Worth::default(); seconds],
+            timeline: vec![Worth::default(); seconds],
         }
     }
 
     fn record_request(&mut self, second: usize, value: f64) {
         self.worth.submitted += value;
         self.requests += 1;
-        self.course[second].submitted += value;
+        self.timeline[second].submitted += value;
     }
 
     fn record_delivery(&mut self, second: usize, worth: f64, delivery_time: Time) {
         self.worth.delivered += worth;
         self.delivered += 1;
-        self.course[second].delivered += worth;
+        self.timeline[second].delivered += worth;
         if let Some(times) = &mut self.delivery_times {
             times.saturating_record(delivery_time.max(1));
         }
@@ -95,8 +95,8 @@
         }
     }
 
-    fn course_pairs(self) -> Vec<(f64, f64)> {
-        self.course.into_iter().map(|worth| (worth.submitted, worth.delivered)).collect()
+    fn timeline_pairs(self) -> Vec<(f64, f64)> {
+        self.timeline.into_iter().map(|worth| (worth.submitted, worth.delivered)).collect()
     }
 }
 
@@ -217,7 +217,7 @@
 
     /// The service of the worst window among those with enough worth.
     pub(crate) fn worst_window(&self) -> f64 {
-        let seconds = self.classes.first().map_or(0, |class| class.course.len());
+        let seconds = self.classes.first().map_or(0, |class| class.timeline.len());
         let least = MIN_WINDOW_SHARE * self.worth_between(0, seconds).submitted;
         let last_start = seconds.saturating_sub(WORST_WINDOW_SECONDS).max(1);
         let mut worst: f64 = 1.0;
@@ -233,7 +233,7 @@
     fn worth_between(&self, start: usize, end: usize) -> Worth {
         let mut sum = Worth::default();
         for class in &self.classes {
-            for worth in &class.course[start..end] {
+            for worth in &class.timeline[start..end] {
                 sum.add(*worth);
             }
         }
@@ -253,16 +253,16 @@
     }
 
     /// The course of the day, for a report.
-    pub(crate) fn course(self, world: &World) -> Course {
+    pub(crate) fn timeline(self, world: &World) -> DayTimeline {
         let faults = world.scenario.faults.iter().map(|fault| fault_span(fault.as_ref()));
-        let routes = self.routes.into_iter().map(|(route, load)| RouteCourse {
+        let routes = self.routes.into_iter().map(|(route, load)| RouteTimeline {
             name: route_name(world, route),
-            reached: load.arrived.0,
+            calls: load.arrived.0,
             capacity: load.capacity.0,
         });
-        Course {
-            classes: self.classes.into_iter().map(Part::course_pairs).collect(),
-            tenants: self.tenants.into_iter().map(Part::course_pairs).collect(),
+        DayTimeline {
+            classes: self.classes.into_iter().map(Part::timeline_pairs).collect(),
+            tenants: self.tenants.into_iter().map(Part::timeline_pairs).collect(),
             queued: self.queued.0,
             calls_in_flight: self.calls_in_flight.0,
             attempts: self.attempts.0,
@@ -321,7 +321,7 @@
 fn fault_span(fault: &mountshift_scenario::ScriptedFault) -> FaultSpan {
     FaultSpan {
         kind: fault.kind.to_string(),
-        whom: fault.targets.join(", "),
+        targets: fault.targets.join(", "),
         from_s: fault.from.seconds(),
         to_s: fault.to.seconds(),
     }
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -1,10 +1,10 @@
 //! Days of the library, played and judged; the same trace whatever the threads; experiments that know what they
 //! don't know.
 
-use mountshift_lab::day::{Day, Play, Seen};
+use mountshift_lab::day::{Day, DayObservation, DayOptions};
 use mountshift_lab::experiment::{Estimate, compare, run, summarise, with_value};
 use mountshift_lab::hunt::{SearchGoal, hunt};
-use mountshift_lab::outcome::DayOutcome;
+use mountshift_lab::outcome::{BreachOutcome, DayOutcome};
 use mountshift_lab::policy_kind::PolicyKind;
 use mountshift_lab::report;
 use mountshift_scenario::Scenario;
@@ -21,7 +21,7 @@
 }
 
 fn play(s: &Scenario, which: PolicyKind, seed: u64) -> DayOutcome {
-    Day::new(s, Play { which, seed, course: false }).play()
+    Day::new(s, DayOptions { policy: which, seed, keep_timeline: false }).run()
 }
 
 // The short form of the library that CI judges; `mountshift lab run examples/scenarios/*.toml` plays all of it.
@@ -48,7 +48,7 @@
     let s = scenario(name);
     for seed in [11, 12] {
         let day = play(&s, PolicyKind::Mountshift, seed);
-        assert!(day.kept(), "seed {seed}: {:?} {:#?}", day.rules, day.breaches.first());
+        assert!(day.has_no_breaches(), "seed {seed}: {:?} {:#?}", day.breach_counts, day.breaches.first());
         assert!(day.service > 0.5 && day.requests > 100, "{}", day.service);
     }
 }
@@ -75,6 +75,72 @@
     }
 }
 
+fn field_names(value: &toml::Value) -> Vec<&str> {
+    let mut names: Vec<&str> = value.as_table().expect("a table").keys().map(String::as_str).collect();
+    names.sort_unstable();
+    names
+}
+
+#[test]
+fn results_keep_the_field_names_of_the_output_format() {
+    let options = DayOptions { policy: PolicyKind::Mountshift, seed: 3, keep_timeline: true };
+    let mut day = Day::new(&scenario("slow"), options).run();
+    day.breaches = vec![BreachOutcome { rule: 1, at_s: 1.0, reason: "late".into(), history: Vec::new() }];
+    let written = toml::Value::try_from(&day).expect("a day");
+    assert_eq!(
+        field_names(&written),
+        [
+            "breaches",
+            "calls_into_outages",
+            "connections",
+            "course",
+            "digest",
+            "ends",
+            "failed",
+            "fell_over",
+            "lanes",
+            "legs",
+            "messages",
+            "policy",
+            "pushed_back",
+            "requests",
+            "rules",
+            "scenario",
+            "seed",
+            "service",
+            "tenants",
+            "twins",
+            "worst_window"
+        ]
+    );
+    assert_eq!(field_names(&written["breaches"][0]), ["at_s", "rule", "story", "why"]);
+    let course = &written["course"];
+    assert_eq!(
+        field_names(course),
+        ["breakers", "held", "lanes", "legs", "messages", "out", "routes", "tenants", "troubles"]
+    );
+    assert_eq!(field_names(&course["routes"][0]), ["capacity", "name", "reached"]);
+    assert_eq!(field_names(&course["troubles"][0]), ["from_s", "kind", "to_s", "whom"]);
+    let summary = toml::Value::try_from(&summarise(&[day])[0]).expect("a summary");
+    assert_eq!(
+        field_names(&summary),
+        [
+            "calls_into_outages",
+            "days_broken",
+            "fell_over",
+            "lanes",
+            "legs_per_message",
+            "policy",
+            "service",
+            "twins",
+            "worst_window"
+        ]
+    );
+    let days = run(&scenario("slow"), &[PolicyKind::Mountshift], &[1, 2, 3, 4, 5], false, &|_| {});
+    let comparison = toml::Value::try_from(compare(&days, &days).expect("pairs")).expect("a comparison");
+    assert!(comparison.get("days_broken").is_some(), "{comparison:?}");
+}
+
 #[test]
 fn one_seed_gives_one_trace_whatever_the_threads() {
     let s = scenario("relays-in-waves");
@@ -82,9 +148,9 @@
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
         pool.install(|| {
             let mut lines = Vec::new();
-            let mut watch = |at: u64, seen: Seen| lines.push(format!("{at} {seen:?}"));
-            let play = Play { which: PolicyKind::Mountshift, seed: 3, course: false };
-            let day = Day::new(&s, play).watched(&mut watch).play();
+            let mut watch = |at: u64, seen: DayObservation| lines.push(format!("{at} {seen:?}"));
+            let play = DayOptions { policy: PolicyKind::Mountshift, seed: 3, keep_timeline: false };
+            let day = Day::new(&s, play).with_observer(&mut watch).run();
             (lines, day.digest)
         })
     };
@@ -154,11 +220,11 @@
 fn hunt_finds_a_reduced_day_that_can_be_played_again() {
     let s = scenario("calm");
     let found = hunt(&s, SearchGoal::Loss, 12, 1, &|| {}).expect("a bad day");
-    assert!(found.badness.loss() > 0.01 && found.faults.1 <= found.faults.0);
+    assert!(found.severity.loss() > 0.01 && found.fault_counts.1 <= found.fault_counts.0);
     let text = found.scenario.to_text().expect("a text");
     let again = Scenario::from_text(&text, "found").expect("a scenario");
     let day = play(&again, PolicyKind::Mountshift, found.seed);
-    assert_eq!(day.service, found.badness.service);
+    assert_eq!(day.service, found.severity.service);
 }
 
 #[test]
--- a/crates/lab/tests/fault_injection.rs
+++ b/crates/lab/tests/fault_injection.rs
@@ -3,7 +3,7 @@
 
 use mountshift::interface::*;
 use mountshift::policy::DeliveryPolicy;
-use mountshift_lab::day::{Day, Play};
+use mountshift_lab::day::{Day, DayOptions};
 use mountshift_lab::outcome::DayOutcome;
 use mountshift_lab::policy::{GroundTruth, Policy};
 use mountshift_lab::policy_kind::PolicyKind;
@@ -192,13 +192,13 @@
     // One key a destination: a queue stands behind every message that keeps its order.
     s.traffic.keys = std::num::NonZeroU32::MIN;
     change(&mut s);
-    let play = Play { which: PolicyKind::Mountshift, seed, course: false };
-    Day::new(&s, play).with_policy(Box::new(move |settings| faulty_policy(fault, settings))).play()
+    let play = DayOptions { policy: PolicyKind::Mountshift, seed, keep_timeline: false };
+    Day::new(&s, play).with_policy(Box::new(move |settings| faulty_policy(fault, settings))).run()
 }
 
 /// Rule by rule, if it was broken.
 fn broken(day: &DayOutcome) -> Vec<usize> {
-    (1..=6).filter(|rule| day.rules[rule - 1] > 0).collect()
+    (1..=6).filter(|rule| day.breach_counts[rule - 1] > 0).collect()
 }
 
 #[test_case("hang", Fault::AnswersDropped, 1; "final answers dropped")]
@@ -223,7 +223,7 @@
     let mut days = (5..15).map(|seed| play(name, fault, seed, |_| {}));
     let faulty = days.find(|day| broken(day).contains(&rule)).expect("a day on which the rule is broken");
     let breach = faulty.breaches.iter().find(|b| usize::from(b.rule) == rule).expect("a breach");
-    assert!(!breach.story.is_empty() && !breach.why.is_empty());
+    assert!(!breach.history.is_empty() && !breach.reason.is_empty());
 }
 
 #[test]
