--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -82,7 +82,7 @@
     for schedule in schedules {
         let report = play(&schedule, &programs, arguments.out.as_deref()).map_err(CliError::soak)?;
         print_row(&report);
-        if !report.held() {
+        if !report.has_no_breaches() {
             verdict = Verdict::Bad;
             print_breaches(&report);
             if arguments.shrink {
@@ -132,19 +132,19 @@
         "{:>4}  {:>6}  {:>12}  {:>12}  {:>9}  {:>8}  {:>9}  {:>10}  {:>8}",
         report.schedule.seed,
         report.schedule.faults.len(),
-        report.ends,
-        report.injected,
+        report.process_exits,
+        report.injected_faults,
         report.submitted,
         report.accepted,
         report.delivered,
-        report.longest_held_up.as_millis(),
+        report.longest_stall.as_millis(),
         report.breaches.len()
     );
 }
 
 fn print_breaches(report: &SoakReport) {
     for breach in &report.breaches {
-        println!("      {}", breach.what);
+        println!("      {}", breach.description);
     }
     println!("{}", report.timeline);
 }
--- a/crates/soak/src/early_end.rs
+++ b/crates/soak/src/early_end.rs
@@ -50,7 +50,7 @@
         observation: &Observation,
     ) -> Option<SoakBreach> {
         match observation {
-            Observation::EndpointTrouble { endpoint, is_over } => {
+            Observation::EndpointFault { endpoint, is_over } => {
                 self.endpoint_trouble(installation, at, *endpoint, *is_over);
             }
             Observation::Fact(Fact::Submitted { message, destination, deadline, .. }) => {
@@ -97,7 +97,7 @@
 fn breach(message: u64, at: Time) -> SoakBreach {
     let id = message_id(message);
     SoakBreach {
-        what: format!(
+        description: format!(
             "{:.3} s: {id} is given up early with no call, though its endpoints are well",
             at as f64 / 1e6
         ),
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -3,9 +3,9 @@
 use crate::copies::COPY_BODY;
 use crate::http::{Request, RequestReader, answer, reset};
 use crate::installation::Installation;
+use crate::malformed_response::{MalformedResponse, send_malformed_response};
 use crate::recorder::Observation;
 use crate::recorder::{Recorder, lock, message_id, number_of_id, relay_of};
-use crate::spoilt_answer::{SpoiltAnswer, answer_spoilt};
 use crate::wire_end::{Ender, WireEnd, WrittenAnswer};
 use mountshift_invariants::{Fact, Time};
 use smol::Timer;
@@ -36,7 +36,7 @@
 /// How an endpoint behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Behaviour {
-    Well,
+    Normal,
     /// Reads requests and never answers.
     Hang,
     /// 503.
@@ -52,7 +52,7 @@
     /// Begins an answer and stops.
     HalfAnswer,
     /// Answers with what is no whole answer, in one way after the other.
-    Spoilt,
+    MalformedResponses,
     /// Lets connections come up late.
     LateConnects,
     /// Closes connections that are idle.
@@ -84,7 +84,7 @@
         let endpoints = Arc::new(Endpoints {
             installation: installation.clone(),
             recorder: recorder.clone(),
-            behaviours: installation.endpoints.iter().map(|_| Mutex::new(Behaviour::Well)).collect(),
+            behaviours: installation.endpoints.iter().map(|_| Mutex::new(Behaviour::Normal)).collect(),
             addresses: Mutex::default(),
             classes: Mutex::default(),
             first_runs: Mutex::default(),
@@ -290,7 +290,7 @@
 /// Answers a call by the endpoint's behaviour at this moment; false at the end of the connection.
 async fn answer_call(stream: &mut TcpStream, call: &Call, endpoints: &Endpoints) -> bool {
     match endpoints.behaviour(call.endpoint) {
-        Behaviour::Well | Behaviour::CloseIdle | Behaviour::LateConnects => {
+        Behaviour::Normal | Behaviour::CloseIdle | Behaviour::LateConnects => {
             deliver(stream, call, SERVICE_TIME, endpoints).await
         }
         Behaviour::Slow(milliseconds) => {
@@ -334,7 +334,7 @@
             call.broken_off(WrittenAnswer::Part, Ender::Relay);
             false
         }
-        Behaviour::Spoilt => {
+        Behaviour::MalformedResponses => {
             spoil_answer(stream, call, endpoints).await;
             false
         }
@@ -343,7 +343,7 @@
 
 async fn spoil_answer(stream: &mut TcpStream, call: &Call, endpoints: &Endpoints) {
     let number = call.messages.first().map_or(0, |called| called.number);
-    let spoilt = SpoiltAnswer::of_call(number, call.messages.len());
+    let spoilt = MalformedResponse::of_call(number, call.messages.len());
     if spoilt.delivers() || call.runs_unanswered() {
         endpoints.run(call);
     }
@@ -354,7 +354,7 @@
         }
     }
     let relay_side = stream.clone();
-    let end = answer_spoilt(stream, spoilt, wait_for_end(&relay_side)).await;
+    let end = send_malformed_response(stream, spoilt, wait_for_end(&relay_side)).await;
     call.ended(end);
 }
 
--- a/crates/soak/src/injection.rs
+++ b/crates/soak/src/injection.rs
@@ -69,7 +69,7 @@
             | FaultKind::Signals
             | FaultKind::ReloadAndStop => self.end_processes(fault).await,
             FaultKind::Clock => {
-                for relay in self.struck_relays(fault) {
+                for relay in self.targeted_relays(fault) {
                     let _ = relay.faults.set_wall_clock_offset_ms(fault.amount);
                 }
             }
@@ -122,11 +122,11 @@
     }
 
     async fn hold(&self, fault: &ScheduledFault, span: Duration) {
-        for relay in self.struck_relays(fault) {
+        for relay in self.targeted_relays(fault) {
             let _ = relay.faults.set_socket_write_delay(HOLD, HOLD_RATE);
         }
         Timer::after(span).await;
-        for relay in self.struck_relays(fault) {
+        for relay in self.targeted_relays(fault) {
             let _ = relay.faults.set_socket_write_delay(Duration::ZERO, 0);
         }
     }
@@ -141,7 +141,7 @@
     }
 
     async fn upgrade_on_bad_folder(&self, fault: &ScheduledFault, span: Duration) {
-        let relays = self.struck_relays(fault);
+        let relays = self.targeted_relays(fault);
         for relay in &relays {
             for (call, how) in disk_faults(fault) {
                 let _ = relay.faults.set_system_call_fault(call, how);
@@ -157,11 +157,11 @@
     }
 
     async fn hold_clocks(&self, fault: &ScheduledFault, span: Duration) {
-        for relay in self.struck_relays(fault) {
+        for relay in self.targeted_relays(fault) {
             let _ = relay.faults.set_clock_read_delay(HOLD, CLOCK_HOLD_RATE);
         }
         Timer::after(span).await;
-        for relay in self.struck_relays(fault) {
+        for relay in self.targeted_relays(fault) {
             let _ = relay.faults.set_clock_read_delay(Duration::ZERO, 0);
         }
     }
@@ -175,7 +175,7 @@
         }
     }
 
-    fn struck_relays(&self, fault: &ScheduledFault) -> Vec<Arc<RelayProcess>> {
+    fn targeted_relays(&self, fault: &ScheduledFault) -> Vec<Arc<RelayProcess>> {
         fault.targets.iter().map(|number| self.relays[*number].clone()).collect()
     }
 
@@ -184,14 +184,14 @@
         F: Future<Output = ()> + Send + 'static,
     {
         let tasks: Vec<_> =
-            self.struck_relays(fault).into_iter().map(|relay| smol::spawn(act(relay))).collect();
+            self.targeted_relays(fault).into_iter().map(|relay| smol::spawn(act(relay))).collect();
         for task in tasks {
             task.await;
         }
     }
 
     async fn break_disk(&self, fault: &ScheduledFault, span: Duration) {
-        let relays = self.struck_relays(fault);
+        let relays = self.targeted_relays(fault);
         for relay in &relays {
             if fault.kind == FaultKind::TornKill {
                 relay.begin_self_kills();
@@ -240,13 +240,13 @@
             (SystemCall::WaitControl, fails(watch, INTERRUPTION_RATE)),
             (SystemCall::Send, sends),
         ];
-        for relay in self.struck_relays(fault) {
+        for relay in self.targeted_relays(fault) {
             for (call, how) in how {
                 let _ = relay.faults.set_system_call_fault(call, how);
             }
         }
         Timer::after(span).await;
-        for relay in self.struck_relays(fault) {
+        for relay in self.targeted_relays(fault) {
             for (call, _) in how {
                 let _ = relay.faults.set_system_call_fault(call, SystemCallFault::default());
             }
@@ -255,7 +255,7 @@
 
     async fn drain(&self, fault: &ScheduledFault, span: Duration) {
         for endpoint in &fault.targets {
-            self.note_trouble(*endpoint, false);
+            self.record_endpoint_fault(*endpoint, false);
             self.platform.set_phase(*endpoint, ListedStatus::Draining);
         }
         Timer::after(span).await;
@@ -265,12 +265,12 @@
         Timer::after(AWAY).await;
         for endpoint in &fault.targets {
             self.platform.set_phase(*endpoint, ListedStatus::Ready);
-            self.note_trouble(*endpoint, true);
+            self.record_endpoint_fault(*endpoint, true);
         }
     }
 
-    fn note_trouble(&self, endpoint: usize, is_over: bool) {
-        self.recorder.note(Observation::EndpointTrouble { endpoint, is_over });
+    fn record_endpoint_fault(&self, endpoint: usize, is_over: bool) {
+        self.recorder.note(Observation::EndpointFault { endpoint, is_over });
     }
 
     fn set_discovery_silent(&self, fault: &ScheduledFault, is_silent: bool) {
@@ -288,18 +288,18 @@
             FaultKind::Slow => Behaviour::Slow(fault.amount as u64),
             FaultKind::Reset => Behaviour::Reset,
             FaultKind::HalfAnswer => Behaviour::HalfAnswer,
-            FaultKind::SpoiltAnswers => Behaviour::Spoilt,
+            FaultKind::SpoiltAnswers => Behaviour::MalformedResponses,
             FaultKind::LateConnects => Behaviour::LateConnects,
             _ => Behaviour::CloseIdle,
         };
         for endpoint in &fault.targets {
-            self.note_trouble(*endpoint, false);
+            self.record_endpoint_fault(*endpoint, false);
             self.endpoints.set_behaviour(*endpoint, behaviour);
         }
         Timer::after(span).await;
         for endpoint in &fault.targets {
-            self.endpoints.set_behaviour(*endpoint, Behaviour::Well);
-            self.note_trouble(*endpoint, true);
+            self.endpoints.set_behaviour(*endpoint, Behaviour::Normal);
+            self.record_endpoint_fault(*endpoint, true);
         }
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`Schedule`] says what happens when; it is drawn from a seed alone and can be written, cut down and played again.
 //! - `installation` draws the settings, destinations and limits of a run; `relay_process` runs the relays.
 //! - `endpoint`, `platform`, `client`, `bad_clients` and `copies` are the stand-ins; they record what they see on the wire in the `recorder`.
-//! - `wire_end` derives outcomes of calls from that by the protocol's table, `spoilt_answer` plays answers that are no answers.
+//! - `wire_end` derives outcomes of calls from that by the protocol's table, `malformed_response` plays answers that are no answers.
 //! - `injection` makes the faults of a schedule begin and end; `oracle` reads the record and tells breaches.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -18,13 +18,13 @@
 mod http;
 mod injection;
 mod installation;
+mod malformed_response;
 mod oracle;
 mod platform;
 mod recorder;
 mod relay_process;
 mod run;
 mod schedule;
-mod spoilt_answer;
 mod wire_end;
 
 pub use error::SoakError;
--- a/crates/soak/src/spoilt_answer.rs
+++ b/crates/soak/src/malformed_response.rs
@@ -23,7 +23,7 @@
 
 /// What is wrong with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Spoilt {
+enum ResponseDefect {
     /// So many of its bytes, then the end of the connection.
     CutAndClosed(usize),
     /// So many, then a reset.
@@ -43,38 +43,38 @@
 
 /// A spoilt answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct SpoiltAnswer {
+pub(crate) struct MalformedResponse {
     text: &'static [u8],
-    how: Spoilt,
+    how: ResponseDefect,
 }
 
-impl SpoiltAnswer {
+impl MalformedResponse {
     /// All kinds in turn by the number of a call, each cut at each byte of the answer sooner or later.
-    pub(crate) fn of_call(number: u64, messages: usize) -> SpoiltAnswer {
+    pub(crate) fn of_call(number: u64, messages: usize) -> MalformedResponse {
         let kind = number / DELIVERIES_IN;
         // Never whole, never nothing.
         let cut_at = 1 + (kind / 8) as usize % (ERROR.len() - 1);
         let how = match kind % 8 {
-            0 => Spoilt::CutAndClosed(cut_at),
-            1 => Spoilt::CutAndReset(cut_at),
-            2 => Spoilt::CutAndHalfClosed(cut_at),
-            3 => Spoilt::CutAndSilent(cut_at),
-            4 => Spoilt::Dripped,
-            5 => Spoilt::Junk,
-            6 => Spoilt::BadChunk,
-            _ => Spoilt::TooLarge,
+            0 => ResponseDefect::CutAndClosed(cut_at),
+            1 => ResponseDefect::CutAndReset(cut_at),
+            2 => ResponseDefect::CutAndHalfClosed(cut_at),
+            3 => ResponseDefect::CutAndSilent(cut_at),
+            4 => ResponseDefect::Dripped,
+            5 => ResponseDefect::Junk,
+            6 => ResponseDefect::BadChunk,
+            _ => ResponseDefect::TooLarge,
         };
         let is_delivery = messages == 1 && number.is_multiple_of(DELIVERIES_IN);
-        SpoiltAnswer { text: if is_delivery { DELIVERY } else { ERROR }, how }
+        MalformedResponse { text: if is_delivery { DELIVERY } else { ERROR }, how }
     }
 
     /// True if its first line, which says that the message is delivered, comes whole.
     pub(crate) fn delivers(self) -> bool {
         let cut_at = match self.how {
-            Spoilt::CutAndClosed(bytes)
-            | Spoilt::CutAndReset(bytes)
-            | Spoilt::CutAndHalfClosed(bytes)
-            | Spoilt::CutAndSilent(bytes) => bytes,
+            ResponseDefect::CutAndClosed(bytes)
+            | ResponseDefect::CutAndReset(bytes)
+            | ResponseDefect::CutAndHalfClosed(bytes)
+            | ResponseDefect::CutAndSilent(bytes) => bytes,
             _ => 0,
         };
         self.text == DELIVERY && cut_at >= DELIVERY_STATUS_BYTES
@@ -82,16 +82,16 @@
 
     fn bytes(self) -> Vec<u8> {
         match self.how {
-            Spoilt::CutAndClosed(bytes)
-            | Spoilt::CutAndReset(bytes)
-            | Spoilt::CutAndHalfClosed(bytes)
-            | Spoilt::CutAndSilent(bytes) => self.text[..bytes].to_vec(),
-            Spoilt::Dripped => ERROR.to_vec(),
-            Spoilt::Junk => b"what is this\r\n\r\n".to_vec(),
-            Spoilt::BadChunk => {
+            ResponseDefect::CutAndClosed(bytes)
+            | ResponseDefect::CutAndReset(bytes)
+            | ResponseDefect::CutAndHalfClosed(bytes)
+            | ResponseDefect::CutAndSilent(bytes) => self.text[..bytes].to_vec(),
+            ResponseDefect::Dripped => ERROR.to_vec(),
+            ResponseDefect::Junk => b"what is this\r\n\r\n".to_vec(),
+            ResponseDefect::BadChunk => {
                 b"HTTP/1.1 500 Status\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nsome text".to_vec()
             }
-            Spoilt::TooLarge => {
+            ResponseDefect::TooLarge => {
                 let head = format!("HTTP/1.1 500 Status\r\nContent-Length: {}\r\n\r\n", TOO_LARGE_BYTES * 2);
                 [head.into_bytes(), vec![b'x'; TOO_LARGE_BYTES]].concat()
             }
@@ -100,23 +100,23 @@
 }
 
 /// Answers a call with a spoilt answer, and waits until the call is over: `given_up` is over once the relay has ended the connection.
-pub(crate) async fn answer_spoilt(
+pub(crate) async fn send_malformed_response(
     stream: &mut TcpStream,
-    spoilt: SpoiltAnswer,
+    spoilt: MalformedResponse,
     given_up: impl Future<Output = ()>,
 ) -> WireEnd {
     let write = async {
-        if spoilt.how == Spoilt::Dripped {
+        if spoilt.how == ResponseDefect::Dripped {
             return drip(stream, &spoilt.bytes()).await;
         }
         let _ = stream.write_all(&spoilt.bytes()).await;
         match spoilt.how {
-            Spoilt::CutAndClosed(_) => Some(Ender::Endpoint),
-            Spoilt::CutAndReset(_) => {
+            ResponseDefect::CutAndClosed(_) => Some(Ender::Endpoint),
+            ResponseDefect::CutAndReset(_) => {
                 crate::http::reset(stream);
                 Some(Ender::Endpoint)
             }
-            Spoilt::CutAndHalfClosed(_) => {
+            ResponseDefect::CutAndHalfClosed(_) => {
                 let _ = stream.shutdown(Shutdown::Write);
                 std::future::pending().await
             }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct SoakBreach {
     /// A line that tells what.
-    pub what: String,
+    pub description: String,
     /// The message that it is about, by its id, if it is about one.
     pub message: Option<String>,
     /// The relay, if it is about one.
@@ -40,12 +40,15 @@
         match observation {
             Observation::Unanswered { relay, .. } if ends_near(observations, *relay, *at) => {}
             Observation::Unanswered { relay, id } => breaches.push(SoakBreach {
-                what: format!("{:.3} s: request of {id} at relay {relay} got no answer", *at as f64 / 1e6),
+                description: format!(
+                    "{:.3} s: request of {id} at relay {relay} got no answer",
+                    *at as f64 / 1e6
+                ),
                 message: Some(id.clone()),
                 relay: Some(*relay),
             }),
             Observation::Process { relay, what } => breaches.push(SoakBreach {
-                what: format!("{:.3} s: relay {relay} {what}", *at as f64 / 1e6),
+                description: format!("{:.3} s: relay {relay} {what}", *at as f64 / 1e6),
                 message: None,
                 relay: Some(*relay),
             }),
@@ -55,7 +58,7 @@
             | Observation::Copied { .. }
             | Observation::Fault(_)
             | Observation::Refused { .. }
-            | Observation::EndpointTrouble { .. } => {}
+            | Observation::EndpointFault { .. } => {}
         }
     }
     breaches.extend(refused_and_sent(observations));
@@ -67,7 +70,7 @@
     for breach in checker.finish(end).breaches {
         let message = breach.history.iter().find_map(|(_, fact)| fact.message());
         breaches.push(SoakBreach {
-            what: format!("{:.3} s: rule {}: {}", breach.at as f64 / 1e6, breach.rule, breach.reason),
+            description: format!("{:.3} s: rule {}: {}", breach.at as f64 / 1e6, breach.rule, breach.reason),
             message: message.map(message_id),
             relay: message.map(relay_of),
         });
@@ -97,7 +100,10 @@
             Observation::Fact(Fact::AttemptStarted { message, .. }) if refused.contains(message) => {
                 let (id, relay) = (message_id(*message), relay_of(*message));
                 breaches.push(SoakBreach {
-                    what: format!("{:.3} s: {id} is sent though it was not accepted", *at as f64 / 1e6),
+                    description: format!(
+                        "{:.3} s: {id} is sent though it was not accepted",
+                        *at as f64 / 1e6
+                    ),
                     message: Some(id),
                     relay: Some(relay),
                 });
@@ -284,10 +290,10 @@
             Observation::Process { relay, what } => format!("relay {relay} {what}"),
             Observation::Fault(fault) => format!("fault: {fault}"),
             Observation::Refused { message } => format!("message {message} is answered as not accepted"),
-            Observation::EndpointTrouble { endpoint, is_over: false } => {
+            Observation::EndpointFault { endpoint, is_over: false } => {
                 format!("endpoint {endpoint} has trouble")
             }
-            Observation::EndpointTrouble { endpoint, is_over: true } => {
+            Observation::EndpointFault { endpoint, is_over: true } => {
                 format!("endpoint {endpoint} is well")
             }
         };
--- a/crates/soak/src/recorder.rs
+++ b/crates/soak/src/recorder.rs
@@ -21,7 +21,7 @@
     /// A message was answered with a rejection or an error: it must not be sent.
     Refused { message: u64 },
     /// An endpoint begins to fail, reject, hang or leave, or is well again.
-    EndpointTrouble { endpoint: usize, is_over: bool },
+    EndpointFault { endpoint: usize, is_over: bool },
     /// A relay's process ended, was not ready, or used too much.
     Process { relay: usize, what: String },
     /// A fault began or ended; only for the timeline.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -49,17 +49,17 @@
     /// ... and so many delivered.
     pub delivered: usize,
     /// Ends of relay processes.
-    pub ends: usize,
+    pub process_exits: usize,
     /// System calls that the shim made fail.
-    pub injected: u64,
+    pub injected_faults: u64,
     /// The longest time for which the stand-ins' own tasks were held up: on a machine that is too busy they see late what the
     /// relays did in time, and a breach may be theirs.
-    pub longest_held_up: Duration,
+    pub longest_stall: Duration,
 }
 
 impl SoakReport {
     /// True if every invariant held.
-    pub fn held(&self) -> bool {
+    pub fn has_no_breaches(&self) -> bool {
         self.breaches.is_empty()
     }
 }
@@ -194,7 +194,7 @@
     let first = breaches.first().cloned();
     let text = first.map_or_else(String::new, |breach| {
         let log = breach.relay.map_or_else(String::new, |number| relays[number].log());
-        format!("{}\n{}", breach.what, timeline(&breach, &observations, &log))
+        format!("{}\n{}", breach.description, timeline(&breach, &observations, &log))
     });
     if let Some(out) = out.filter(|_| !breaches.is_empty()) {
         write_out(out, schedule, &text, &all_lines(&observations), relays);
@@ -211,19 +211,19 @@
         _ => None,
     });
     SoakReport {
-        longest_held_up: Duration::from_micros(held_up.max().unwrap_or(0)),
+        longest_stall: Duration::from_micros(held_up.max().unwrap_or(0)),
         submitted: count(|fact| matches!(fact, Fact::Submitted { .. })),
         accepted: count(|fact| matches!(fact, Fact::Accepted { .. })),
         delivered: count(|fact| matches!(fact, Fact::DeliveryAnswered { .. })),
-        ends: count(|fact| matches!(fact, Fact::RelayDown { .. })),
-        injected: injected(relays),
+        process_exits: count(|fact| matches!(fact, Fact::RelayDown { .. })),
+        injected_faults: injected_faults(relays),
         schedule: schedule.clone(),
         breaches,
         timeline: text,
     }
 }
 
-fn injected(relays: &[Arc<RelayProcess>]) -> u64 {
+fn injected_faults(relays: &[Arc<RelayProcess>]) -> u64 {
     let calls = mountshift_faults::SystemCall::ALL;
     let counts = relays.iter().flat_map(|relay| calls.iter().map(|call| relay.faults.injected_count(*call)));
     counts.map(|count| count.unwrap_or(0)).sum()
@@ -259,7 +259,7 @@
     while index < smallest.faults.len() {
         let mut candidate = smallest.clone();
         candidate.faults.remove(index);
-        if play(&candidate, programs, None)?.held() {
+        if play(&candidate, programs, None)?.has_no_breaches() {
             index += 1;
         } else {
             smallest = candidate;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -139,7 +139,7 @@
     }
 
     /// True if the fault strikes relays, false if it strikes endpoints.
-    pub(crate) fn strikes_relays(self) -> bool {
+    pub(crate) fn targets_relays(self) -> bool {
         !matches!(
             self,
             FaultKind::Hang
@@ -216,8 +216,8 @@
 
 /// The kind of a group's next fault.
 fn draw_kind(kinds: &[FaultKind], group: &[ScheduledFault], random: &mut ChaCha8Rng) -> FaultKind {
-    let lacks_endpoints = group.iter().all(|fault| fault.kind.strikes_relays());
-    let at_endpoints: Vec<FaultKind> = kinds.iter().copied().filter(|kind| !kind.strikes_relays()).collect();
+    let lacks_endpoints = group.iter().all(|fault| fault.kind.targets_relays());
+    let at_endpoints: Vec<FaultKind> = kinds.iter().copied().filter(|kind| !kind.targets_relays()).collect();
     if lacks_endpoints
         && random.random_bool(ENDPOINT_TROUBLE)
         && let Some(kind) = at_endpoints.choose(random)
@@ -262,7 +262,7 @@
                 let kind = draw_kind(&kinds, &group, &mut random);
                 let mut fault = schedule.draw_fault(kind, at_ms, end_ms, &mut random);
                 // What strikes the same relays is what crosses.
-                let earlier = group.iter().find(|e| e.kind.strikes_relays() == kind.strikes_relays());
+                let earlier = group.iter().find(|e| e.kind.targets_relays() == kind.targets_relays());
                 if let Some(earlier) = earlier
                     && random.random_bool(SAME_TARGETS)
                 {
@@ -298,7 +298,7 @@
             _ => (SHORTEST_MS, 4_000),
         };
         let for_ms = random.random_range(shortest..=longest).min(end_ms.saturating_sub(at_ms)).max(100);
-        let count = if kind.strikes_relays() { self.relays } else { self.endpoints };
+        let count = if kind.targets_relays() { self.relays } else { self.endpoints };
         let struck = random.random_range(1..=count.div_ceil(3));
         let mut targets = rand::seq::index::sample(random, count, struck).into_vec();
         targets.sort_unstable();
@@ -336,7 +336,7 @@
             )));
         }
         for fault in &self.faults {
-            let count = if fault.kind.strikes_relays() { self.relays } else { self.endpoints };
+            let count = if fault.kind.targets_relays() { self.relays } else { self.endpoints };
             if fault.kind.is_upgrade() && !self.inherited_sockets {
                 return Err(SoakError::Unplayable("an upgrade needs inherited sockets".into()));
             }
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -26,8 +26,8 @@
 fn every_invariant_holds_under_the_fixed_schedule() {
     let schedule = Schedule::read(&fixed_schedule()).expect("a schedule");
     let report = play(&schedule, &programs(), None).expect("played");
-    assert!(report.held(), "{}\n{:#?}", report.timeline, report.breaches);
-    assert!(report.delivered > 500 && report.ends >= 6 && report.injected > 0, "{report:?}");
+    assert!(report.has_no_breaches(), "{}\n{:#?}", report.timeline, report.breaches);
+    assert!(report.delivered > 500 && report.process_exits >= 6 && report.injected_faults > 0, "{report:?}");
 }
 
 /// A seed whose schedule has each of the kinds that the fixed schedule lacks.
@@ -49,8 +49,8 @@
     let drawn = |kind| schedule.faults.iter().any(|fault| fault.kind == kind);
     assert!(kinds.into_iter().all(drawn), "{}", schedule.to_json());
     let report = play(&schedule, &programs(), None).expect("played");
-    assert!(report.held(), "{}\n{:#?}", report.timeline, report.breaches);
-    assert!(report.delivered > 500 && report.ends > 0, "{report:?}");
+    assert!(report.has_no_breaches(), "{}\n{:#?}", report.timeline, report.breaches);
+    assert!(report.delivered > 500 && report.process_exits > 0, "{report:?}");
 }
 
 #[test]
