--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -34,7 +34,7 @@
     }
 
     fn close_message(&mut self, message: MessageId, inputs: &mut Vec<Input>) {
-        self.close_in_spool(message, AttemptAtClose::InFlight);
+        self.close_in_spool(message, ClosingAttempt::InFlight);
         inputs.push(Input::Closed(message));
     }
 
@@ -200,13 +200,13 @@
             return;
         }
         let endpoint = call.endpoint;
-        let waited = self.now.saturating_sub(call.sent_at);
+        let elapsed = self.now.saturating_sub(call.sent_at);
         let is_recorded = call.stage.get() != CallStage::Connecting;
         if call.messages.is_empty() {
             self.calls_in_flight.remove(&number);
         }
         if run == RunState::NeverRan && is_recorded {
-            self.spool.borrow_mut().record_not_run(message.0);
+            self.spool.borrow_mut().record_not_processed(message.0);
         }
         if run == RunState::MayBeRunning {
             self.note_key_rest(number, message, outcome);
@@ -216,9 +216,9 @@
                 self.metrics.count_final_answer("delivered");
             }
             self.remember_ended(message);
-            self.close_in_spool(message, AttemptAtClose::Ended(run));
+            self.close_in_spool(message, ClosingAttempt::Ended(run));
         }
-        inputs.push(Input::AttemptEnded { message, endpoint, waited, outcome, run, closed });
+        inputs.push(Input::AttemptEnded { message, endpoint, elapsed, outcome, run, closed });
     }
 
     /// The decisions let the key of the message rest from here on. Counted and logged apart from them.
@@ -258,7 +258,7 @@
     fn on_stop_requested(&mut self, plan: StopPlan, inputs: &mut Vec<Input>) {
         self.maintenance.borrow_mut().set_stopping();
         // A successor takes over what is held: nothing more is sent from here.
-        if plan.hands_over {
+        if plan.is_handover {
             self.hands_over = true;
             self.files.raise_handover_marker();
             info!("hands over to the process beside it");
--- a/crates/soak/src/injection.rs
+++ b/crates/soak/src/injection.rs
@@ -7,7 +7,7 @@
 use crate::recorder::{Observation, Recorder};
 use crate::relay_process::{RelayProcess, UpgradeEnd};
 use crate::schedule::{FaultKind, Schedule, ScheduledFault};
-use mountshift_faults::{CallFault, FULL_RATE, SystemCall};
+use mountshift_faults::{FULL_RATE, SystemCall, SystemCallFault};
 use mountshift_invariants::ListedStatus;
 use rustix::process::Signal;
 use smol::Timer;
@@ -69,7 +69,7 @@
             | FaultKind::Signals
             | FaultKind::ReloadAndStop => self.end_processes(fault).await,
             FaultKind::Clock => {
-                for relay in self.struck_relays(fault) {
+                for relay in self.targeted_relays(fault) {
                     let _ = relay.faults.set_wall_clock_offset_ms(fault.amount);
                 }
             }
@@ -122,12 +122,12 @@
     }
 
     async fn hold(&self, fault: &ScheduledFault, span: Duration) {
-        for relay in self.struck_relays(fault) {
-            let _ = relay.faults.set_hold(HOLD, HOLD_RATE);
+        for relay in self.targeted_relays(fault) {
+            let _ = relay.faults.set_socket_write_delay(HOLD, HOLD_RATE);
         }
         Timer::after(span).await;
-        for relay in self.struck_relays(fault) {
-            let _ = relay.faults.set_hold(Duration::ZERO, 0);
+        for relay in self.targeted_relays(fault) {
+            let _ = relay.faults.set_socket_write_delay(Duration::ZERO, 0);
         }
     }
 
@@ -141,10 +141,10 @@
     }
 
     async fn upgrade_on_bad_folder(&self, fault: &ScheduledFault, span: Duration) {
-        let relays = self.struck_relays(fault);
+        let relays = self.targeted_relays(fault);
         for relay in &relays {
             for (call, how) in disk_faults(fault) {
-                let _ = relay.faults.set_call_fault(call, how);
+                let _ = relay.faults.set_system_call_fault(call, how);
             }
         }
         let end = upgrade_end(fault);
@@ -157,12 +157,12 @@
     }
 
     async fn hold_clocks(&self, fault: &ScheduledFault, span: Duration) {
-        for relay in self.struck_relays(fault) {
-            let _ = relay.faults.set_clock_hold(HOLD, CLOCK_HOLD_RATE);
+        for relay in self.targeted_relays(fault) {
+            let _ = relay.faults.set_clock_read_delay(HOLD, CLOCK_HOLD_RATE);
         }
         Timer::after(span).await;
-        for relay in self.struck_relays(fault) {
-            let _ = relay.faults.set_clock_hold(Duration::ZERO, 0);
+        for relay in self.targeted_relays(fault) {
+            let _ = relay.faults.set_clock_read_delay(Duration::ZERO, 0);
         }
     }
 
@@ -175,7 +175,7 @@
         }
     }
 
-    fn struck_relays(&self, fault: &ScheduledFault) -> Vec<Arc<RelayProcess>> {
+    fn targeted_relays(&self, fault: &ScheduledFault) -> Vec<Arc<RelayProcess>> {
         fault.targets.iter().map(|number| self.relays[*number].clone()).collect()
     }
 
@@ -184,20 +184,20 @@
         F: Future<Output = ()> + Send + 'static,
     {
         let tasks: Vec<_> =
-            self.struck_relays(fault).into_iter().map(|relay| smol::spawn(act(relay))).collect();
+            self.targeted_relays(fault).into_iter().map(|relay| smol::spawn(act(relay))).collect();
         for task in tasks {
             task.await;
         }
     }
 
     async fn break_disk(&self, fault: &ScheduledFault, span: Duration) {
-        let relays = self.struck_relays(fault);
+        let relays = self.targeted_relays(fault);
         for relay in &relays {
             if fault.kind == FaultKind::TornKill {
                 relay.begin_self_kills();
             }
             for (call, how) in disk_faults(fault) {
-                let _ = relay.faults.set_call_fault(call, how);
+                let _ = relay.faults.set_system_call_fault(call, how);
             }
         }
         if fault.kind == FaultKind::DiskAtStart {
@@ -225,11 +225,12 @@
         let shortage = shortages[fault.amount as usize % shortages.len()];
         let locals = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS, libc::EAGAIN];
         let local = locals[fault.amount as usize / 4 % locals.len()];
-        let fails = |errno, fail_rate| CallFault { errno, fail_rate, ..CallFault::default() };
+        let fails = |errno, fail_rate| SystemCallFault { errno, fail_rate, ..SystemCallFault::default() };
         let watch = libc::ENOMEM;
         let passing = [libc::EINTR, libc::ENOBUFS, libc::ENOMEM];
         let passing = passing[fault.amount as usize % passing.len()];
-        let sends = CallFault { short_rate: INTERRUPTION_RATE, ..fails(passing, INTERRUPTION_RATE) };
+        let sends =
+            SystemCallFault { partial_write_rate: INTERRUPTION_RATE, ..fails(passing, INTERRUPTION_RATE) };
         let how = [
             (SystemCall::Accept, fails(shortage, SHORTAGE_RATE)),
             (SystemCall::Socket, fails(shortage, SHORTAGE_RATE)),
@@ -239,22 +240,22 @@
             (SystemCall::WaitControl, fails(watch, INTERRUPTION_RATE)),
             (SystemCall::Send, sends),
         ];
-        for relay in self.struck_relays(fault) {
+        for relay in self.targeted_relays(fault) {
             for (call, how) in how {
-                let _ = relay.faults.set_call_fault(call, how);
+                let _ = relay.faults.set_system_call_fault(call, how);
             }
         }
         Timer::after(span).await;
-        for relay in self.struck_relays(fault) {
+        for relay in self.targeted_relays(fault) {
             for (call, _) in how {
-                let _ = relay.faults.set_call_fault(call, CallFault::default());
+                let _ = relay.faults.set_system_call_fault(call, SystemCallFault::default());
             }
         }
     }
 
     async fn drain(&self, fault: &ScheduledFault, span: Duration) {
         for endpoint in &fault.targets {
-            self.note_trouble(*endpoint, false);
+            self.record_endpoint_fault(*endpoint, false);
             self.platform.set_phase(*endpoint, ListedStatus::Draining);
         }
         Timer::after(span).await;
@@ -264,12 +265,12 @@
         Timer::after(AWAY).await;
         for endpoint in &fault.targets {
             self.platform.set_phase(*endpoint, ListedStatus::Ready);
-            self.note_trouble(*endpoint, true);
+            self.record_endpoint_fault(*endpoint, true);
         }
     }
 
-    fn note_trouble(&self, endpoint: usize, is_over: bool) {
-        self.recorder.note(Observation::EndpointTrouble { endpoint, is_over });
+    fn record_endpoint_fault(&self, endpoint: usize, is_over: bool) {
+        self.recorder.note(Observation::EndpointFault { endpoint, is_over });
     }
 
     fn set_discovery_silent(&self, fault: &ScheduledFault, is_silent: bool) {
@@ -287,18 +288,18 @@
             FaultKind::Slow => Behaviour::Slow(fault.amount as u64),
             FaultKind::Reset => Behaviour::Reset,
             FaultKind::HalfAnswer => Behaviour::HalfAnswer,
-            FaultKind::SpoiltAnswers => Behaviour::Spoilt,
+            FaultKind::SpoiltAnswers => Behaviour::MalformedResponses,
             FaultKind::LateConnects => Behaviour::LateConnects,
             _ => Behaviour::CloseIdle,
         };
         for endpoint in &fault.targets {
-            self.note_trouble(*endpoint, false);
+            self.record_endpoint_fault(*endpoint, false);
             self.endpoints.set_behaviour(*endpoint, behaviour);
         }
         Timer::after(span).await;
         for endpoint in &fault.targets {
-            self.endpoints.set_behaviour(*endpoint, Behaviour::Well);
-            self.note_trouble(*endpoint, true);
+            self.endpoints.set_behaviour(*endpoint, Behaviour::Normal);
+            self.record_endpoint_fault(*endpoint, true);
         }
     }
 }
@@ -329,14 +330,24 @@
 }
 
 /// How the state folder fails.
-fn disk_faults(fault: &ScheduledFault) -> Vec<(SystemCall, CallFault)> {
+fn disk_faults(fault: &ScheduledFault) -> Vec<(SystemCall, SystemCallFault)> {
     let errno = if fault.amount % 2 == 0 { libc::ENOSPC } else { libc::EIO };
-    let half_cut = CallFault { errno, fail_rate: FULL_RATE, short_rate: FULL_RATE / 2, kill_rate: 0 };
-    let fails = CallFault::always(errno);
-    let at_times = CallFault { errno, fail_rate: SHORTAGE_RATE, ..CallFault::default() };
+    let half_cut = SystemCallFault {
+        errno,
+        fail_rate: FULL_RATE,
+        partial_write_rate: FULL_RATE / 2,
+        partial_write_kill_rate: 0,
+    };
+    let fails = SystemCallFault::always(errno);
+    let at_times = SystemCallFault { errno, fail_rate: SHORTAGE_RATE, ..SystemCallFault::default() };
     match fault.kind {
         FaultKind::TornKill => {
-            let torn = CallFault { errno, fail_rate: 0, short_rate: 0, kill_rate: FULL_RATE / 5 };
+            let torn = SystemCallFault {
+                errno,
+                fail_rate: 0,
+                partial_write_rate: 0,
+                partial_write_kill_rate: FULL_RATE / 5,
+            };
             vec![(SystemCall::FileWrite, torn)]
         }
         FaultKind::UpgradeDisk => vec![
@@ -354,12 +365,15 @@
             (SystemCall::FileRename, fails),
             (SystemCall::FileTruncate, fails),
             (SystemCall::FileUnlink, at_times),
-            (SystemCall::Bind, CallFault { errno: libc::EADDRINUSE, ..at_times }),
+            (SystemCall::Bind, SystemCallFault { errno: libc::EADDRINUSE, ..at_times }),
         ],
         _ => vec![
             (SystemCall::FileWrite, half_cut),
-            (SystemCall::FileTruncate, if fault.amount % 3 == 0 { fails } else { CallFault::default() }),
-            (SystemCall::FileRename, if fault.amount % 5 == 0 { fails } else { CallFault::default() }),
+            (
+                SystemCall::FileTruncate,
+                if fault.amount % 3 == 0 { fails } else { SystemCallFault::default() },
+            ),
+            (SystemCall::FileRename, if fault.amount % 5 == 0 { fails } else { SystemCallFault::default() }),
         ],
     }
 }
@@ -367,7 +381,7 @@
 fn mend_disk(relays: &[Arc<RelayProcess>], fault: &ScheduledFault) {
     for relay in relays {
         for (call, _) in disk_faults(fault) {
-            let _ = relay.faults.set_call_fault(call, CallFault::default());
+            let _ = relay.faults.set_system_call_fault(call, SystemCallFault::default());
         }
     }
 }
