--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,14 +1,14 @@
-//! Admission: tenants' quotas, priority weights, and whom to reject when the places for messages run out.
+//! Admission: tenant quotas, priority weights, and load shedding when the relay holds too many messages.
 
 use crate::interface::*;
 use crate::state::{Message, State};
 
-/// What is left of the weight of a message over its tenant's quota: it goes where nobody else waits.
-const OVER_QUOTA_WEIGHT: f64 = 0.05;
-/// Seconds of the quota that may come at once: traffic is uneven within seconds.
+/// Factor on the priority weight of a message over its tenant's quota; it is sent only when no others wait.
+const OVER_QUOTA_WEIGHT_FACTOR: f64 = 0.05;
+/// Burst that a tenant's quota allows, in seconds of the quota: traffic is uneven within seconds.
 pub(super) const QUOTA_BURST_SECONDS: f64 = 2.0;
-/// Share of the places held from which messages are rejected: the rest keeps live traffic coming in.
-const LOAD_SHED_ABOVE: f64 = 0.9;
+/// Share of `max_queued` above which queued messages are rejected, so that new submissions still find room.
+const LOAD_SHEDDING_THRESHOLD: f64 = 0.9;
 
 pub(super) fn submitted(state: &mut State, id: MessageId, submission: Submission) {
     let Some(class) = state.settings.classes.get(submission.class.0 as usize) else { return };
@@ -17,7 +17,8 @@
     state.messages.insert(id, message);
 }
 
-/// A tenant that nobody knows has no quota. What a restart finds was counted when it was submitted.
+/// Counts a message against its tenant's quota and returns whether it exceeds it, as for an unknown tenant if
+/// there are quotas. Messages restored after a restart were counted at their submission.
 fn is_over_quota(state: &mut State, tenant: TenantId, is_restored: bool) -> bool {
     let has_quotas = !state.tenant_budgets.is_empty();
     let Some(budget) = state.tenant_budgets.get_mut(tenant.0 as usize) else { return has_quotas };
@@ -31,15 +32,15 @@
     is_over
 }
 
-/// What a delivery now is worth beside other messages.
+/// Returns the weight of a message if it is delivered now.
 pub(super) fn weight(state: &State, message: &Message) -> f64 {
     let weight = message.remaining_weight(state.class_of(message), state.settings.decay, state.now);
-    weight * if message.over_quota { OVER_QUOTA_WEIGHT } else { 1.0 }
+    weight * if message.over_quota { OVER_QUOTA_WEIGHT_FACTOR } else { 1.0 }
 }
 
-/// Rejects queued messages of the least weight, so that they don't keep live traffic out.
+/// Rejects the queued messages of the lowest weight, so that there is room for new submissions.
 pub(super) fn shed_load(state: &mut State, out: &mut dyn Actions) {
-    let most = (state.settings.max_queued as f64 * LOAD_SHED_ABOVE).max(1.0) as usize;
+    let most = (state.settings.max_queued as f64 * LOAD_SHEDDING_THRESHOLD).max(1.0) as usize;
     let held = state.messages.open().count();
     if held <= most {
         return;
@@ -53,7 +54,7 @@
     }
 }
 
-/// Rule 2: a message is rejected only where submitting it again is safe.
+/// Rule 2: a message is rejected only if the client can safely submit it again.
 fn may_reject(state: &State, message: &Message) -> bool {
     let is_repeatable = state.class_of(message).idempotency.is_safe_to_repeat_at_any_endpoint();
     let may_come_again = message.first_possible_run.is_none() || is_repeatable;
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -1,21 +1,22 @@
-//! Concurrency limits. An endpoint's limit grows with answers by additive increase, falls with failures and
-//! rejections by multiplicative decrease; a destination takes no more than its share of the free calls.
+//! Concurrency limits. An endpoint's limit grows additively with successes and falls multiplicatively with
+//! failures and rejections. A destination takes no more than its share of the free calls.
 
 use crate::interface::DestinationId;
 use crate::state::State;
 
-/// A new endpoint takes so many calls at once: enough to learn its answer time, few if it is slow.
-pub(super) const LIMIT_AT_START: f64 = 4.0;
-/// No endpoint takes more, however well it answers: what is in flight as one dies is lost time.
-pub(super) const LIMIT_MAX: f64 = 24.0;
-/// What a failure or rejection leaves of the limit.
-pub(super) const LIMIT_CUT: f64 = 0.6;
-/// Failures in a row from which one endpoint of several is taken for dead.
-pub(super) const DEAD_ENDPOINT_FAILURES: u32 = 3;
-/// Calls in flight to one destination, as a multiple of those still free: two thirds of all at most.
+/// Concurrency limit of a new endpoint: enough calls to measure its response time, few if it is slow.
+pub(super) const CONCURRENCY_LIMIT_INITIAL: f64 = 4.0;
+/// Highest concurrency limit of an endpoint; calls in flight when an endpoint fails are lost time.
+pub(super) const CONCURRENCY_LIMIT_MAX: f64 = 24.0;
+/// Factor by which a failure or rejection reduces the concurrency limit.
+pub(super) const LIMIT_DECREASE: f64 = 0.6;
+/// Consecutive failures after which one endpoint of several is skipped for a while.
+pub(super) const ENDPOINT_FAILURE_THRESHOLD: u32 = 3;
+/// Maximum calls in flight to one destination, as a multiple of the free calls: at most two thirds of all.
 const CALLS_PER_FREE_CALL: f64 = 2.0;
 
-/// Keeps slow or failing destinations from taking all calls. Where calls are few their breakers open late.
-pub(super) fn has_calls_for(state: &State, destination: DestinationId) -> bool {
+/// Returns whether a destination may take another call, so that slow or failing destinations do not take all.
+/// With a small limit of calls, their breakers open late as a consequence.
+pub(super) fn has_call_capacity_for(state: &State, destination: DestinationId) -> bool {
     (state.calls.in_flight_to(destination) as f64) < CALLS_PER_FREE_CALL * state.free_calls() as f64
 }
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -1,16 +1,16 @@
-//! Endpoint discovery: what a list update changes, when to poll again, and when an endpoint is forgotten.
+//! Endpoint discovery: applies list updates, schedules polls and removes endpoints that are no longer needed.
 
-use super::{concurrency::LIMIT_AT_START, pacing};
+use super::{concurrency::CONCURRENCY_LIMIT_INITIAL, pacing};
 use crate::interface::*;
 use crate::state::{Endpoint, State};
 use mountshift_discovery::PollSchedule;
 use std::time::Duration;
 
-/// So long nothing is sent on a list that may be old: discovery answers sooner, or is down.
-const LIST_WAIT: Duration = Duration::from_millis(500);
+/// Maximum wait for discovery before a possibly stale list is used; discovery responds sooner or is down.
+const LIST_REFRESH_TIMEOUT: Duration = Duration::from_millis(500);
 
 pub(super) fn endpoint_listed(state: &mut State, listed: ListedEndpoint) {
-    let new = Endpoint::new(&listed, state.route_id(&listed), LIMIT_AT_START);
+    let new = Endpoint::new(&listed, state.route_id(&listed), CONCURRENCY_LIMIT_INITIAL);
     state.endpoints.update(listed.endpoint, new, listed.status, state.now);
     let rate = if listed.rate.is_finite() { listed.rate.max(0.0) } else { 0.0 };
     let is_rate_listed = rate > 0.0 && state.settings.listed_rate != ListedRate::Unknown;
@@ -21,10 +21,10 @@
     }
 }
 
-/// Rule 3: the list held at a start may be old. Nothing is sent on it until discovery answers: it may have
-/// told of a drain when no process ran. Pauses a start with discovery down.
+/// Rule 3: the list held at a start may be stale, as discovery may have reported a drain while no process
+/// ran. Nothing is sent until discovery responds, which delays a start while discovery is down.
 pub(super) fn list_may_be_stale(state: &mut State) {
-    state.list_awaited_until = Some(state.now + LIST_WAIT);
+    state.list_awaited_until = Some(state.now + LIST_REFRESH_TIMEOUT);
 }
 
 pub(super) fn schedule_first_poll(state: &mut State) {
@@ -50,7 +50,7 @@
     PollSchedule { relay_count: state.settings.relay_count, poll_interval: state.settings.poll_interval }
 }
 
-/// Forgets endpoints that are off the list and bind no rule: tables would else grow for good.
+/// Forgets unavailable endpoints that no rule still needs, as tables would otherwise grow without limit.
 pub(super) fn forget_unused_endpoints(state: &mut State, out: &mut dyn Actions) {
     for id in state.endpoints.unused(state.now, state.settings.drain_grace) {
         let route_id = state.endpoints[id].route;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! All decisions of one relay. A host calls [`DeliveryPolicy::step`] with all that came in; the decisions
-//! come back as calls of [`Actions`]. Each module has one concern and its tuned values (docs/design.md).
+//! All decisions of one relay. A host calls [`DeliveryPolicy::step`] with its inputs; the decisions are
+//! returned as calls of [`Actions`]. Each module has one concern and its tuned constants (docs/design.md).
 //! Every send passes `safety`, the one place where the six rules are enforced.
 
 mod admission;
@@ -19,9 +19,10 @@
 use crate::state::{EndedAttempt, PossibleRun, State};
 use std::time::Duration;
 
-/// A step each 20 ms while there is work: short beside the shortest time-out and backoff.
+/// Interval of steps while there is work; short compared to the shortest timeout and backoff.
 const STEP_INTERVAL: Duration = Duration::from_millis(20);
-/// More relays than this: trials add up, and an even share of a rate is too small for uneven traffic.
+/// Number of relays above which a fleet is large: trials add up, and an even share of a rate is too small for
+/// uneven traffic.
 const LARGE_FLEET: u32 = 6;
 
 /// The decisions of one relay: when and where each message is sent, and when it is given up.
@@ -31,14 +32,14 @@
 }
 
 impl DeliveryPolicy {
-    /// The decisions at the start of a process.
+    /// Creates the policy at the start of a process.
     pub fn new(settings: PolicySettings) -> DeliveryPolicy {
         let mut state = State::new(settings, admission::QUOTA_BURST_SECONDS);
         discovery::schedule_first_poll(&mut state);
         DeliveryPolicy { state }
     }
 
-    /// Takes in all that came since the last step, then decides.
+    /// Applies the inputs since the last step, then decides.
     pub fn step(&mut self, now: Duration, inputs: impl IntoIterator<Item = Input>, out: &mut dyn Actions) {
         let state = &mut self.state;
         state.now = now;
@@ -47,7 +48,7 @@
         }
         timeouts::count_overdue_calls(state);
         timeouts::cancel_overdue_calls(state, out);
-        retry::fail_spent_messages(state, out);
+        retry::fail_undeliverable_messages(state, out);
         idle_connections::close_idle_connections(state, out);
         selection::send_waiting(state, out);
         admission::shed_load(state, out);
@@ -58,13 +59,14 @@
         }
         handover::persist_routes(state, out);
         discovery::forget_unused_endpoints(state, out);
-        if state.holds_work() && state.wake_at.is_none_or(|at| at <= now) {
+        if state.has_work() && state.wake_at.is_none_or(|at| at <= now) {
             state.wake_at = Some(now + STEP_INTERVAL);
             out.wake_after(STEP_INTERVAL);
         }
     }
 
-    /// Rule 5: until when a process after this one has to know of a message that is closed now; none if it need not.
+    /// Rule 5: returns the time until which the next process needs the record of a message that is closed
+    /// now, or none if it does not need it.
     pub fn record_needed_until(
         &self,
         message: MessageId,
@@ -74,21 +76,21 @@
         safety::record_needed_until(&self.state, message, now, attempt)
     }
 
-    /// Rule 5: whether it is a message's turn in its key. None if the message is not held.
+    /// Rule 5: returns a message's position in the order of its key, or none if the message is not held.
     pub fn ordering_state(&self, message: MessageId, now: Duration) -> Option<OrderingState> {
         let held = self.state.messages.get(message)?;
         Some(self.state.messages.ordering_state(message, held, now))
     }
 
-    /// By which key a message is in order; none if it is in no order, or not held.
+    /// Returns a message's ordering key; none if the message is unordered or not held.
     pub fn ordering_key(&self, message: MessageId) -> Option<OrderingKey> {
         self.state.messages.get(message)?.key
     }
 
-    /// The rules again, right before the first byte of an attempt.
+    /// Checks the rules again right before the first byte of an attempt is written.
     ///
     /// # Errors
-    /// Why the attempt must not begin.
+    /// Returns the reason why the attempt must not be sent.
     pub fn check_before_send(
         &self,
         message: MessageId,
@@ -98,12 +100,13 @@
         safety::check_before_send(&self.state, message, endpoint, now)
     }
 
-    /// Rules 2 and 5. A host asks where an attempt can't be recorded for the next process.
+    /// Rules 2 and 5: returns whether an attempt may be sent that can't be recorded for the next process.
     pub fn may_send_without_record(&self, message: MessageId) -> bool {
         safety::may_send_without_record(&self.state, message)
     }
 
-    /// Rules 3 and 6. A host asks again where a call begins late: both may have changed.
+    /// Rules 3 and 6: returns whether a call may be sent to an endpoint. A host checks again before a call
+    /// that starts late, as the endpoint's state may have changed.
     pub fn may_send_to(&self, endpoint: EndpointId, now: Duration) -> bool {
         safety::may_send_to(&self.state, endpoint, now)
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: what an attempt's end tells, whether and when the message may be sent again, when it is given up.
+//! Retries: applies the end of an attempt, decides whether and when a message is sent again or fails.
 
 use super::safety::DEADLINE_MARGIN;
 use super::{STEP_INTERVAL, circuit_breaker};
@@ -6,20 +6,21 @@
 use crate::state::{EndedAttempt, Message, State};
 use std::time::Duration;
 
-/// The backoff before a retry, doubled with each: attempts must not be used up at once on what fails fast.
+/// Backoff before a retry, doubled with each: a destination that fails fast must not use up all attempts.
 const RETRY_BACKOFF: Duration = Duration::from_millis(250);
-/// Attempts up to which the backoff is doubled: longer ones would use up the time of a message.
-const DOUBLED_TO_ATTEMPT: u8 = 6;
-/// Backoffs added after a rejection if all attempts are rejected: else attempts are used up route by route.
+/// Number of attempts up to which the backoff doubles; longer backoffs would use up a message's time.
+const BACKOFF_DOUBLING_ATTEMPTS: u8 = 6;
+/// Backoffs added after a rejection if all recent attempts were rejected, in proportion if only some were;
+/// without them a message would use up its attempts on one route after the other.
 const REJECTED_BACKOFFS: f64 = 8.0;
-/// Backoffs after a shortage of this machine: it lasts a while, and each try costs processor time.
+/// Backoffs after a shortage on this machine: it lasts a while, and each attempt costs processor time.
 const LOCAL_FAILURE_BACKOFFS: f64 = 0.4;
-/// Seconds over which the share of rejected attempts is measured, ...
-pub(crate) const REJECTION_SECONDS: usize = 30;
-/// ... of at least so many, so that the first rejections weigh little.
-const ATTEMPTS_MEASURED_MIN: f64 = 20.0;
-/// Attempts that may run for a message of no weight; one more for each multiple of the least weight.
-const RUNS_MIN: f64 = 2.0;
+/// Window, in seconds, over which the share of rejected attempts is measured.
+pub(crate) const REJECTION_WINDOW_SECONDS: usize = 30;
+/// Minimum number of attempts assumed for the share of rejected ones; the first rejections then count little.
+const REJECTION_ATTEMPTS_MIN: f64 = 20.0;
+/// Attempts that may run for a message of weight 0; one more for each multiple of the lowest class weight.
+const POSSIBLE_RUNS_MIN: f64 = 2.0;
 
 pub(super) fn attempt_ended(state: &mut State, id: MessageId, ended: &EndedAttempt) {
     let is_limited = ended.outcome == Outcome::ConnectionLimit;
@@ -27,8 +28,8 @@
     let outcome = if is_limited { rejected } else { ended.outcome };
     let Some(number) = state.take_call(id) else { return };
     record_outcome(state, id, outcome, ended.run);
-    // Rule 5: an attempt that may still be running holds back the rest of its key for a while. Not asked of the outcome:
-    // an error may be an answer that the relay gave up.
+    // Rule 5: an attempt that may still be running delays the other messages of its key. The outcome does not
+    // show this: an error may be a response that the relay stopped reading.
     if ended.run == RunState::MayBeRunning {
         state.messages.hold_off_key(id, state.now + state.settings.order_hold_off);
     }
@@ -50,8 +51,8 @@
     let recent = state.recent_rejections.totals(state.now);
     let Some(message) = state.messages.get_mut(id) else { return };
     message.record_outcome(outcome, run);
-    let doubled = 2f64.powi(i32::from(message.attempts.clamp(1, DOUBLED_TO_ATTEMPT)) - 1);
-    let measured = recent.count.max(ATTEMPTS_MEASURED_MIN);
+    let doubled = 2f64.powi(i32::from(message.attempts.clamp(1, BACKOFF_DOUBLING_ATTEMPTS)) - 1);
+    let measured = recent.count.max(REJECTION_ATTEMPTS_MIN);
     let backoffs = match outcome {
         Outcome::Error | Outcome::ConnectFailed | Outcome::TimedOut => doubled,
         Outcome::Rejected { .. } => doubled - 1.0 + doubled * REJECTED_BACKOFFS * recent.sum / measured,
@@ -62,12 +63,12 @@
     state.recent_rejections.add_flag(state.now, is_rejected);
 }
 
-pub(super) fn may_try_again(state: &State, message: &Message) -> bool {
+pub(super) fn allows_another_attempt(state: &State, message: &Message) -> bool {
     let class = state.class_of(message);
-    // A class of no weight is no measure: it would allow itself no attempt, and the others any number.
+    // A class of weight 0 is no measure: it would get no attempt, and all others any number.
     let weights = state.settings.classes.iter().map(|class| class.priority_weight);
     let least_weight = weights.filter(|weight| *weight > 0.0).fold(f64::MAX, f64::min);
-    let runs = RUNS_MIN + (class.priority_weight / least_weight).round();
+    let runs = POSSIBLE_RUNS_MIN + (class.priority_weight / least_weight).round();
     let is_repeat_safe = class.idempotency == Idempotency::Idempotent
         || message.first_possible_run.is_none()
         || message.deduplication_left(class, state.now) > Some(DEADLINE_MARGIN * 2);
@@ -75,18 +76,18 @@
     has_attempts && f64::from(message.possible_runs) < runs && is_repeat_safe
 }
 
-/// Fails what can't be sent again or is out of time, even in a call that goes on for others.
-pub(super) fn fail_spent_messages(state: &mut State, out: &mut dyn Actions) {
-    let spent = state.messages.open().filter(|(_, message)| is_spent(state, message));
-    for id in spent.map(|(id, _)| id).collect::<Vec<_>>() {
+/// Fails messages that can't be sent again or are past their deadline, even if their call goes on for others.
+pub(super) fn fail_undeliverable_messages(state: &mut State, out: &mut dyn Actions) {
+    let undeliverable = state.messages.open().filter(|(_, message)| is_undeliverable(state, message));
+    for id in undeliverable.map(|(id, _)| id).collect::<Vec<_>>() {
         let is_taken = out.fail(id);
         state.messages.end(id, is_taken);
     }
 }
 
-fn is_spent(state: &State, message: &Message) -> bool {
+fn is_undeliverable(state: &State, message: &Message) -> bool {
     if message.call.is_some() {
         return message.deadline + STEP_INTERVAL < state.now;
     }
-    message.deadline <= state.now + DEADLINE_MARGIN || !may_try_again(state, message)
+    message.deadline <= state.now + DEADLINE_MARGIN || !allows_another_attempt(state, message)
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! Selection: which destination is served next, at which of its endpoints, with which messages in one call.
+//! Selection of the next destination, of one of its endpoints, and of the messages that share a call.
 
 use super::idle_connections::IDLE_AFTER;
 use super::slow_start::FURTHER_MESSAGE_WEIGHT;
@@ -7,28 +7,30 @@
 use crate::state::{Breaker, CallDraft, Message, State};
 use std::time::Duration;
 
-/// Cost of an answer time as long as the latency objective; fees and prices count as told, ...
-const COST_SLOW: f64 = 0.2;
-/// ... for so many objectives at most: slower still is no worse than out of reach.
-const SLOW_OBJECTIVES_MAX: f64 = 2.0;
-/// Cost of a concurrency limit that is used up: spreads calls over like endpoints.
-const COST_USED: f64 = 0.05;
-/// Cost by chance at most: relays that know the same don't all pick the same endpoint.
-const COST_JITTER: f64 = 0.01;
-/// Messages share a call if the shortest time left is at least this share of the longest.
-const LIKE_TIMES: f64 = 0.5;
+/// Cost of a mean response time equal to the latency objective; fees and prices of zones count unscaled.
+const LATENCY_COST: f64 = 0.2;
+/// Highest response time that counts, in latency objectives: beyond it, an endpoint is no worse than an
+/// unreachable one.
+const LATENCY_OBJECTIVES_MAX: f64 = 2.0;
+/// Cost of a fully used concurrency limit: spreads calls over similar endpoints.
+const UTILIZATION_COST: f64 = 0.05;
+/// Maximum random cost: relays with the same information don't all select the same endpoint.
+const JITTER_COST_MAX: f64 = 0.01;
+/// Minimum ratio of the shortest to the longest time to a deadline among messages that share a call.
+const TIME_LEFT_RATIO_MIN: f64 = 0.5;
 
-/// Messages that wait for one destination.
+/// Messages waiting for one destination.
 type Waiting = Vec<MessageId>;
 
-/// An endpoint that may be called now.
+/// An endpoint to which a call may be sent now.
 struct Candidate {
     endpoint: EndpointId,
     cost: f64,
     messages_allowed: usize,
 }
 
-/// Free calls go in turns over destinations with messages waiting, those with the fewest in flight first.
+/// Sends calls to destinations with waiting messages, those with the fewest calls in flight first, then the
+/// least recently called.
 pub(super) fn send_waiting(state: &mut State, out: &mut dyn Actions) {
     let awaits_list = state.list_awaited_until.is_some_and(|until| state.now < until);
     if state.is_handing_over || awaits_list {
@@ -36,8 +38,8 @@
     }
     let mut waiting = state.messages.waiting(state.now);
     while state.calls.len() < state.settings.max_calls_in_flight {
-        let turn = |id: &&DestinationId| (state.calls.in_flight_to(**id), state.endpoints.last_call(**id));
-        let Some(destination) = waiting.keys().min_by_key(turn).copied() else { break };
+        let order = |id: &&DestinationId| (state.calls.in_flight_to(**id), state.endpoints.last_call(**id));
+        let Some(destination) = waiting.keys().min_by_key(order).copied() else { break };
         let mut messages = waiting.remove(&destination).unwrap_or_default();
         if send_call(state, destination, &mut messages, out) && !messages.is_empty() {
             waiting.insert(destination, messages);
@@ -45,9 +47,9 @@
     }
 }
 
-/// Sends one call to a destination, with as many of the messages as may travel in it; takes those out.
+/// Sends one call to a destination and removes its messages from the waiting ones; returns whether it did.
 fn send_call(state: &mut State, to: DestinationId, messages: &mut Waiting, out: &mut dyn Actions) -> bool {
-    if !concurrency::has_calls_for(state, to) {
+    if !concurrency::has_call_capacity_for(state, to) {
         return false;
     }
     let objective = state.class_of(&state.messages[messages[0]]).latency_objective;
@@ -82,12 +84,12 @@
 fn may_take_call(state: &State, id: EndpointId, has_siblings: bool, are_calls_short: bool) -> bool {
     let endpoint = &state.endpoints[id];
     let route = &state.routes[endpoint.route];
-    // The trial is not limited: calls left in flight at a hung host must not hold it up.
-    let is_used_up = f64::from(endpoint.calls_in_flight) + 1.0 > endpoint.concurrency_limit;
-    let is_held = route.consecutive_failures > 0 && are_calls_short;
-    let is_limited = route.is_closed() && (is_used_up || is_held);
-    let is_held_off = has_siblings && state.now < endpoint.hold_off_until;
-    endpoint.unavailable_since.is_none() && !is_limited && !is_held_off
+    // The limit does not apply to a trial: calls that are still in flight to a hung host must not delay it.
+    let is_at_limit = f64::from(endpoint.calls_in_flight) + 1.0 > endpoint.concurrency_limit;
+    let is_withheld = route.consecutive_failures > 0 && are_calls_short;
+    let is_limited = route.is_closed() && (is_at_limit || is_withheld);
+    let is_skipped = has_siblings && state.now < endpoint.skip_until;
+    endpoint.unavailable_since.is_none() && !is_limited && !is_skipped
 }
 
 fn cost(state: &mut State, id: EndpointId, objective: Duration) -> f64 {
@@ -98,12 +100,13 @@
     let is_near = endpoint.zone == state.settings.zone;
     let price = if is_near { 0.0 } else { state.settings.cross_zone_price };
     let objectives = times.sum / times.count / objective.as_secs_f64();
-    let slow = if times.count > 0.0 { COST_SLOW * objectives.min(SLOW_OBJECTIVES_MAX) } else { 0.0 };
-    let used = COST_USED * f64::from(endpoint.calls_in_flight) / endpoint.concurrency_limit;
-    fee + price + slow + used + COST_JITTER * state.jitter.draw(id.0)
+    let slow = if times.count > 0.0 { LATENCY_COST * objectives.min(LATENCY_OBJECTIVES_MAX) } else { 0.0 };
+    let used = UTILIZATION_COST * f64::from(endpoint.calls_in_flight) / endpoint.concurrency_limit;
+    fee + price + slow + used + JITTER_COST_MAX * state.jitter.draw(id.0)
 }
 
-/// What a restart found untried goes first, then what weighs most with the queue behind its key.
+/// Returns the sort key of a message: those restored after a restart without an attempt first, then by weight
+/// times the queue length of their key, then by latency objective.
 fn rank(state: &State, message: &Message) -> (bool, i64, Duration) {
     let queue_length = state.messages.queue_length(message) as f64;
     let millionths = (-admission::weight(state, message) * queue_length * 1e6) as i64;
@@ -114,16 +117,16 @@
     let route_id = state.endpoints[to.endpoint].route;
     let is_trial = !state.routes[route_id].is_closed();
     if is_trial {
-        // A trial can strand a message that must not run twice: a safer one goes first.
+        // After a failed trial a message that must not run twice may not be sent again: prefer a safer one.
         messages.sort_by_key(|id| state.class_of(&state.messages[*id]).idempotency);
     }
     let mut draft = CallDraft::new(state.jitter.next_number(), to.endpoint, to.messages_allowed);
-    let learnt_timeout = timeouts::learnt(state, to.endpoint);
+    let learned_timeout = timeouts::learned(state, to.endpoint);
     messages.retain(|id| {
         let message = &state.messages[*id];
         let left = message.deadline.saturating_sub(state.now);
-        let has_room = !draft.is_full() && fits(&draft, message);
-        let may_join = has_room && may_join(&draft, left, learnt_timeout);
+        let has_room = !draft.is_full() && fits_size(&draft, message);
+        let may_join = has_room && fits_time_left(&draft, left, learned_timeout);
         !(may_join && safety::send(state, *id, &mut draft, out))
     });
     if draft.messages == 0 {
@@ -137,15 +140,16 @@
     true
 }
 
-/// A message fits alone however large it is: only a call of several ones has its bytes beside those of others.
-fn fits(draft: &CallDraft, message: &Message) -> bool {
+/// Returns whether a message fits the size limit, which applies only to a call of several messages.
+fn fits_size(draft: &CallDraft, message: &Message) -> bool {
     draft.messages == 0 || draft.bytes_with(message.batch_entry_bytes) <= MAX_CALL_BYTES
 }
 
-/// A call ends at its shortest limit, so one with little time left would cut others off. One whose time is
-/// long beside the learnt answer time cuts nobody off: else what waited long keeps out what is new.
-fn may_join(draft: &CallDraft, left: Duration, learnt_timeout: Option<Duration>) -> bool {
-    let shortest = draft.shortest_with(left);
-    let is_ample = learnt_timeout.is_some_and(|timeout| shortest.mul_f64(LIKE_TIMES) >= timeout);
-    draft.messages == 0 || is_ample || shortest >= draft.longest_with(left).mul_f64(LIKE_TIMES)
+/// Returns whether the message's time to its deadline suits the others of the call. A call ends at its
+/// shortest limit, so a message with little time would end the attempts of others early. Times well above the
+/// learned timeout do no harm; without this exception, messages that waited long would keep out new ones.
+fn fits_time_left(draft: &CallDraft, left: Duration, learned_timeout: Option<Duration>) -> bool {
+    let shortest = draft.shortest_time_with(left);
+    let is_ample = learned_timeout.is_some_and(|timeout| shortest.mul_f64(TIME_LEFT_RATIO_MIN) >= timeout);
+    draft.messages == 0 || is_ample || shortest >= draft.longest_time_with(left).mul_f64(TIME_LEFT_RATIO_MIN)
 }
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -1,45 +1,46 @@
-//! Time-outs learnt from answer times, and what happens to calls that are overdue by them.
+//! Timeouts learned from response times, and the handling of calls that exceed them.
 
 use super::circuit_breaker;
 use crate::interface::*;
 use crate::state::{Call, CallNumber, State};
 use std::time::Duration;
 
-/// No learnt time-out is shorter: garbage collection and lost packets take so long now and then.
+/// Shortest timeout: garbage collection or lost packets occasionally delay a response by that much.
 const TIMEOUT_MIN: Duration = Duration::from_millis(600);
-/// A time-out is so many mean answer times, ...
-const TIMEOUT_MEANS: f64 = 6.0;
-/// ... and at least so many times the longest answer time: the next one may be longer.
-const TIMEOUT_PEAKS: f64 = 1.5;
-/// Seconds over which answer times count: as the load changes, older ones mislead.
-pub(crate) const RESPONSE_TIME_SECONDS: usize = 24;
-/// Answers from which on a time-out is learnt: fewer tell too little of the spread.
-const ANSWERS_MIN: f64 = 3.0;
-/// The time-out before that, as a multiple of the latency objective: longer answers are of little worth.
-const TIMEOUT_OF_OBJECTIVE: f64 = 1.5;
-/// A message's time-out is doubled with each that it had, so many times: the next host may be slow too.
+/// Learned timeout, as a multiple of the mean response time.
+const TIMEOUT_MEAN_FACTOR: f64 = 6.0;
+/// Lower bound of the learned timeout, as a multiple of the longest response time: the next may be longer.
+const TIMEOUT_PEAK_FACTOR: f64 = 1.5;
+/// Window, in seconds, over which response times count; older ones mislead as the load changes.
+pub(crate) const RESPONSE_TIME_WINDOW_SECONDS: usize = 24;
+/// Minimum number of responses for a learned timeout; fewer do not show the spread.
+const TIMEOUT_RESPONSES_MIN: f64 = 3.0;
+/// Timeout until one is learned, as a multiple of the latency objective: later deliveries earn little weight.
+const TIMEOUT_OBJECTIVE_FACTOR: f64 = 1.5;
+/// Maximum number of times that a message's timeout is doubled, once for each earlier timeout of the message:
+/// the next host may be slow too.
 const TIMEOUT_DOUBLINGS_MAX: u32 = 4;
-/// One call in so many is kept free by cancelling overdue ones: enough for the destinations that answer.
+/// One call in this number is kept free for destinations that respond, by cancelling overdue calls.
 const CALLS_PER_SPARE_CALL: usize = 8;
-/// A call with a message that can't be sent again is cancelled after so many time-outs: its one chance.
-const NOT_IDEMPOTENT_TIMEOUTS: u32 = 2;
+/// Timeouts after which a call with a message that can't be sent again is cancelled: it is its only attempt.
+const NOT_IDEMPOTENT_TIMEOUT_FACTOR: u32 = 2;
 
-pub(super) fn learnt(state: &State, endpoint: EndpointId) -> Option<Duration> {
+pub(super) fn learned(state: &State, endpoint: EndpointId) -> Option<Duration> {
     let times = state.endpoints[endpoint].response_times.totals(state.now);
-    if times.count < ANSWERS_MIN {
+    if times.count < TIMEOUT_RESPONSES_MIN {
         return None;
     }
-    let seconds = (TIMEOUT_MEANS * times.sum / times.count).max(TIMEOUT_PEAKS * times.peak);
+    let seconds = (TIMEOUT_MEAN_FACTOR * times.sum / times.count).max(TIMEOUT_PEAK_FACTOR * times.peak);
     Some(Duration::from_secs_f64(seconds).max(TIMEOUT_MIN))
 }
 
-/// The time-out of an attempt for a message that timed out so often before.
-pub(super) fn timeout(state: &State, to: EndpointId, class: &MessageClass, timeouts: u32) -> Duration {
-    let unknown = class.latency_objective.mul_f64(TIMEOUT_OF_OBJECTIVE).max(TIMEOUT_MIN);
-    learnt(state, to).unwrap_or(unknown) * 2u32.pow(timeouts.min(TIMEOUT_DOUBLINGS_MAX))
+/// Returns the timeout of an attempt for a message with this number of earlier timeouts.
+pub(super) fn for_attempt(state: &State, to: EndpointId, class: &MessageClass, timeouts: u32) -> Duration {
+    let unknown = class.latency_objective.mul_f64(TIMEOUT_OBJECTIVE_FACTOR).max(TIMEOUT_MIN);
+    learned(state, to).unwrap_or(unknown) * 2u32.pow(timeouts.min(TIMEOUT_DOUBLINGS_MAX))
 }
 
-/// A call past its learnt time-out counts as failed, though it is left in flight: shows hosts that hang.
+/// Counts calls past their timeout as failed and leaves them in flight, which detects hung hosts early.
 pub(super) fn count_overdue_calls(state: &mut State) {
     for call in state.calls.count_overdue(state.now) {
         state.record_connection(&call, false, true);
@@ -47,10 +48,11 @@
     }
 }
 
-/// Keeps some calls free of hosts that hang: cancels the oldest overdue, those that can't go again later.
+/// Cancels the oldest overdue calls so that hung hosts do not take all calls; calls with a message that can't
+/// be sent again are cancelled later.
 pub(super) fn cancel_overdue_calls(state: &mut State, out: &mut dyn Actions) {
     let spare = state.settings.max_calls_in_flight.div_ceil(CALLS_PER_SPARE_CALL);
-    let wanted = (state.calls.not_cancelled() + spare).saturating_sub(state.settings.max_calls_in_flight);
+    let wanted = (state.calls.uncancelled() + spare).saturating_sub(state.settings.max_calls_in_flight);
     if wanted == 0 || !state.settings.may_cancel {
         return;
     }
@@ -69,5 +71,5 @@
     }
     let not_idempotent = |message| state.class_of(message).idempotency == Idempotency::NotIdempotent;
     let is_risky = state.messages.carried_by(number).any(|(_, message)| not_idempotent(message));
-    !is_risky || state.now >= call.sent_at + call.expected_within * NOT_IDEMPOTENT_TIMEOUTS
+    !is_risky || state.now >= call.sent_at + call.overdue_after * NOT_IDEMPOTENT_TIMEOUT_FACTOR
 }
--- a/src/state/calls.rs
+++ b/src/state/calls.rs
@@ -16,9 +16,9 @@
     pub(crate) attempts_in_flight: u32,
     pub(crate) sent_at: Duration,
     /// The time-out learnt: behind it the call is overdue.
-    pub(crate) expected_within: Duration,
+    pub(crate) overdue_after: Duration,
     /// Its result has been counted for its route.
-    pub(crate) counted: bool,
+    pub(crate) result_counted: bool,
     pub(crate) cancelled: bool,
     /// It carries as many messages as the route took.
     pub(crate) filled: bool,
@@ -39,13 +39,13 @@
 
 impl Call {
     pub(crate) fn is_overdue(&self, now: Duration) -> bool {
-        now >= self.sent_at + self.expected_within
+        now >= self.sent_at + self.overdue_after
     }
 
     /// Counts the call's result, unless it has been counted.
     fn result(&mut self, number: CallNumber, endpoint: EndpointId) -> CallResult {
-        let is_first_result = !self.counted;
-        self.counted = true;
+        let is_first_result = !self.result_counted;
+        self.result_counted = true;
         CallResult {
             number,
             route: self.route,
@@ -66,9 +66,9 @@
     pub(crate) messages: usize,
     /// Bytes that they take.
     bytes: usize,
-    expected_within: Duration,
-    shortest_left: Duration,
-    longest_left: Duration,
+    overdue_after: Duration,
+    shortest_time_left: Duration,
+    longest_time_left: Duration,
 }
 
 impl CallDraft {
@@ -79,9 +79,9 @@
             messages_allowed,
             messages: 0,
             bytes: 0,
-            expected_within: Duration::ZERO,
-            shortest_left: Duration::MAX,
-            longest_left: Duration::ZERO,
+            overdue_after: Duration::ZERO,
+            shortest_time_left: Duration::MAX,
+            longest_time_left: Duration::ZERO,
         }
     }
 
@@ -95,21 +95,21 @@
     }
 
     /// The shortest time left in the call, with a message that has `left`.
-    pub(crate) fn shortest_with(&self, left: Duration) -> Duration {
-        self.shortest_left.min(left)
+    pub(crate) fn shortest_time_with(&self, left: Duration) -> Duration {
+        self.shortest_time_left.min(left)
     }
 
     /// The longest time left in the call, with a message that has `left`.
-    pub(crate) fn longest_with(&self, left: Duration) -> Duration {
-        self.longest_left.max(left)
+    pub(crate) fn longest_time_with(&self, left: Duration) -> Duration {
+        self.longest_time_left.max(left)
     }
 
     pub(crate) fn add(&mut self, left: Duration, timeout: Duration, bytes: usize) {
         self.messages += 1;
         self.bytes = self.bytes_with(bytes);
-        self.expected_within = self.expected_within.max(timeout);
-        self.shortest_left = self.shortest_with(left);
-        self.longest_left = self.longest_with(left);
+        self.overdue_after = self.overdue_after.max(timeout);
+        self.shortest_time_left = self.shortest_time_with(left);
+        self.longest_time_left = self.longest_time_with(left);
     }
 
     pub(crate) fn call(&self, route: RouteId, now: Duration, on_idle_connection: bool) -> Call {
@@ -118,7 +118,7 @@
             endpoint: self.endpoint,
             attempts_in_flight: self.messages as u32,
             sent_at: now,
-            expected_within: self.expected_within,
+            overdue_after: self.overdue_after,
             filled: self.is_full(),
             on_idle_connection,
             ..Call::default()
@@ -150,13 +150,14 @@
     }
 
     /// True if the result of a call of the route has not been counted yet.
-    pub(crate) fn is_result_due(&self, route: RouteId) -> bool {
-        self.by_number.values().any(|call| call.route == route && !call.counted)
+    pub(crate) fn has_pending_result(&self, route: RouteId) -> bool {
+        self.by_number.values().any(|call| call.route == route && !call.result_counted)
     }
 
     /// Counts those whose result is overdue; the oldest first.
     pub(crate) fn count_overdue(&mut self, now: Duration) -> Vec<CallResult> {
-        let overdue = self.by_number.iter_mut().filter(|(_, call)| !call.counted && call.is_overdue(now));
+        let overdue =
+            self.by_number.iter_mut().filter(|(_, call)| !call.result_counted && call.is_overdue(now));
         overdue.map(|(number, call)| call.result(*number, call.endpoint)).collect()
     }
 
@@ -171,7 +172,7 @@
         Some(result)
     }
 
-    pub(crate) fn not_cancelled(&self) -> usize {
+    pub(crate) fn uncancelled(&self) -> usize {
         self.by_number.values().filter(|call| !call.cancelled).count()
     }
 
--- a/src/state/endpoints.rs
+++ b/src/state/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::{CallNumber, RouteId, SlidingWindow};
 use crate::interface::*;
-use crate::policy::timeouts::RESPONSE_TIME_SECONDS;
+use crate::policy::timeouts::RESPONSE_TIME_WINDOW_SECONDS;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -16,9 +16,9 @@
     pub(crate) concurrency_limit: f64,
     pub(crate) calls_in_flight: u32,
     pub(crate) consecutive_failures: u32,
-    pub(crate) hold_off_until: Duration,
+    pub(crate) skip_until: Duration,
     /// Answer times in seconds.
-    pub(crate) response_times: SlidingWindow<RESPONSE_TIME_SECONDS>,
+    pub(crate) response_times: SlidingWindow<RESPONSE_TIME_WINDOW_SECONDS>,
     /// When a connection was last used; zero if none is kept.
     pub(crate) last_used_at: Duration,
 }
@@ -32,29 +32,34 @@
     pub(crate) fn record_success(&mut self, now: Duration, waited: Duration, maximum: f64) {
         self.response_times.add(now, waited.as_secs_f64());
         // The limit was used up (one call is back already): without the 2, a limit of one never grew again.
-        let was_used_up = f64::from(self.calls_in_flight) + 2.0 > self.concurrency_limit;
-        let increase = if was_used_up { 1.0 / self.concurrency_limit } else { 0.0 };
+        let was_at_limit = f64::from(self.calls_in_flight) + 2.0 > self.concurrency_limit;
+        let increase = if was_at_limit { 1.0 / self.concurrency_limit } else { 0.0 };
         self.concurrency_limit = (self.concurrency_limit + increase).min(maximum);
         self.consecutive_failures = 0;
     }
 
     /// Multiplicative decrease, down to one call.
-    pub(crate) fn cut_concurrency_limit(&mut self, factor: f64) {
+    pub(crate) fn decrease_concurrency_limit(&mut self, factor: f64) {
         self.concurrency_limit = (self.concurrency_limit * factor).max(1.0);
     }
 
     /// Consecutive failures from `dead_from` on hold the endpoint off.
-    pub(crate) fn record_failure(&mut self, cut: f64, dead_from: u32, hold_off_until: Duration) {
-        self.cut_concurrency_limit(cut);
+    pub(crate) fn record_failure(
+        &mut self,
+        decrease_factor: f64,
+        failure_threshold: u32,
+        skip_until: Duration,
+    ) {
+        self.decrease_concurrency_limit(decrease_factor);
         self.consecutive_failures += 1;
-        if self.consecutive_failures >= dead_from {
-            self.hold_off_until = hold_off_until;
+        if self.consecutive_failures >= failure_threshold {
+            self.skip_until = skip_until;
         }
     }
 
     /// True if the next call finds a connection that was not used for `idle_after`.
     pub(crate) fn has_idle_connection(&self, now: Duration, idle_after: Duration) -> bool {
-        self.calls_in_flight == 0 && self.keeps_connections() && now > self.last_used_at + idle_after
+        self.calls_in_flight == 0 && self.has_connections() && now > self.last_used_at + idle_after
     }
 
     pub(crate) fn call_started(&mut self, now: Duration) {
@@ -67,7 +72,7 @@
         self.last_used_at = now;
     }
 
-    pub(crate) fn keeps_connections(&self) -> bool {
+    pub(crate) fn has_connections(&self) -> bool {
         self.last_used_at > Duration::ZERO
     }
 }
@@ -114,18 +119,18 @@
     pub(crate) fn record_failure(
         &mut self,
         id: EndpointId,
-        cut: f64,
-        dead_from: u32,
-        hold_off_until: Duration,
+        decrease_factor: f64,
+        failure_threshold: u32,
+        skip_until: Duration,
     ) {
         if let Some(endpoint) = self.by_id.get_mut(&id) {
-            endpoint.record_failure(cut, dead_from, hold_off_until);
+            endpoint.record_failure(decrease_factor, failure_threshold, skip_until);
         }
     }
 
-    pub(crate) fn record_rejection(&mut self, id: EndpointId, cut: f64) {
+    pub(crate) fn record_rejection(&mut self, id: EndpointId, decrease_factor: f64) {
         if let Some(endpoint) = self.by_id.get_mut(&id) {
-            endpoint.cut_concurrency_limit(cut);
+            endpoint.decrease_concurrency_limit(decrease_factor);
         }
     }
 
@@ -188,7 +193,7 @@
     }
 
     pub(crate) fn with_connections(&self) -> impl Iterator<Item = EndpointId> {
-        self.by_id.iter().filter(|(_, endpoint)| endpoint.keeps_connections()).map(|(id, _)| *id)
+        self.by_id.iter().filter(|(_, endpoint)| endpoint.has_connections()).map(|(id, _)| *id)
     }
 }
 
--- a/src/state/key_queues.rs
+++ b/src/state/key_queues.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 /// A span in which an attempt of a message may still be running.
-struct Rest {
-    behind: MessageId,
+struct HoldOff {
+    message: MessageId,
     until: Duration,
 }
 
@@ -17,14 +17,14 @@
 struct KeyQueue {
     messages: VecDeque<MessageId>,
     /// One for each message at most: a rest behind one message must not end with the rest behind another.
-    rests: Vec<Rest>,
+    hold_offs: Vec<HoldOff>,
 }
 
 impl KeyQueue {
-    fn rest_behind(&mut self, message: MessageId, until: Duration) {
-        match self.rests.iter_mut().find(|rest| rest.behind == message) {
-            Some(rest) => rest.until = rest.until.max(until),
-            None => self.rests.push(Rest { behind: message, until }),
+    fn add_hold_off(&mut self, message: MessageId, until: Duration) {
+        match self.hold_offs.iter_mut().find(|hold_off| hold_off.message == message) {
+            Some(hold_off) => hold_off.until = hold_off.until.max(until),
+            None => self.hold_offs.push(HoldOff { message, until }),
         }
     }
 
@@ -34,9 +34,10 @@
             _ => {}
         }
         // Another attempt of the same message need not wait: its turn goes on.
-        let of_others = self.rests.iter().filter(|rest| rest.behind != message && rest.until > now);
-        match of_others.max_by_key(|rest| rest.until) {
-            Some(rest) => OrderingState::HeldOff(rest.behind, rest.until),
+        let of_others =
+            self.hold_offs.iter().filter(|hold_off| hold_off.message != message && hold_off.until > now);
+        match of_others.max_by_key(|hold_off| hold_off.until) {
+            Some(hold_off) => OrderingState::HeldOff(hold_off.message, hold_off.until),
             None => OrderingState::Next,
         }
     }
@@ -62,20 +63,21 @@
     /// An attempt of `by` may still be running: until then it is the turn of no other message of the key.
     pub(crate) fn hold_off(&mut self, key: Option<OrderingKey>, until: Duration, by: MessageId) {
         if let Some(queue) = key.and_then(|key| self.queues.get_mut(&key)) {
-            queue.rest_behind(by, until);
+            queue.add_hold_off(by, until);
         }
     }
 
     /// Until when an attempt of `by` holds off the rest of the key; none if it does not.
-    pub(crate) fn held_off_until(
+    pub(crate) fn hold_off_end(
         &self,
         key: Option<OrderingKey>,
         by: MessageId,
         now: Duration,
     ) -> Option<Duration> {
         let queue = self.queues.get(&key?)?;
-        let rest = queue.rests.iter().find(|rest| rest.behind == by && rest.until > now)?;
-        Some(rest.until)
+        let hold_off =
+            queue.hold_offs.iter().find(|hold_off| hold_off.message == by && hold_off.until > now)?;
+        Some(hold_off.until)
     }
 
     /// Whether it is the message's turn, and what it waits for if not.
@@ -98,8 +100,8 @@
 
     pub(crate) fn discard_unused(&mut self, now: Duration) {
         self.queues.retain(|_, queue| {
-            queue.rests.retain(|rest| rest.until > now);
-            !queue.messages.is_empty() || !queue.rests.is_empty()
+            queue.hold_offs.retain(|hold_off| hold_off.until > now);
+            !queue.messages.is_empty() || !queue.hold_offs.is_empty()
         });
     }
 }
--- a/src/state/messages.rs
+++ b/src/state/messages.rs
@@ -167,7 +167,7 @@
     pub(crate) fn waiting(&self, now: Duration) -> BTreeMap<DestinationId, Vec<MessageId>> {
         let mut waiting: BTreeMap<DestinationId, Vec<MessageId>> = BTreeMap::new();
         for (id, message) in self.open() {
-            if message.call.is_none() && message.not_before <= now && self.is_turn(id, message, now) {
+            if message.call.is_none() && message.not_before <= now && self.is_next_for_key(id, message, now) {
                 waiting.entry(message.destination).or_default().push(id);
             }
         }
@@ -179,7 +179,7 @@
         self.key_queues.ordering_state(message.key, id, now)
     }
 
-    pub(crate) fn is_turn(&self, id: MessageId, message: &Message, now: Duration) -> bool {
+    pub(crate) fn is_next_for_key(&self, id: MessageId, message: &Message, now: Duration) -> bool {
         self.ordering_state(id, message, now) == OrderingState::Next
     }
 
@@ -216,8 +216,8 @@
     }
 
     /// Until when an attempt of the message holds off the rest of its key; none if it does not.
-    pub(crate) fn holds_key_off_until(&self, id: MessageId, now: Duration) -> Option<Duration> {
-        self.key_queues.held_off_until(self.get(id)?.key, id, now)
+    pub(crate) fn key_hold_off_until(&self, id: MessageId, now: Duration) -> Option<Duration> {
+        self.key_queues.hold_off_end(self.get(id)?.key, id, now)
     }
 
     pub(crate) fn discard_unused_queues(&mut self, now: Duration) {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -23,8 +23,8 @@
 pub(crate) use token_bucket::TokenBucket;
 
 use crate::interface::*;
-use crate::policy::idle_connections::IDLE_RESULT_SECONDS;
-use crate::policy::retry::REJECTION_SECONDS;
+use crate::policy::idle_connections::IDLE_RESULT_WINDOW_SECONDS;
+use crate::policy::retry::REJECTION_WINDOW_SECONDS;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -43,13 +43,13 @@
     pub(crate) calls: Calls,
     pub(crate) tenant_budgets: Vec<TokenBucket>,
     /// A value of 1 for each rejected attempt, of 0 for each other one.
-    pub(crate) recent_rejections: SlidingWindow<REJECTION_SECONDS>,
+    pub(crate) recent_rejections: SlidingWindow<REJECTION_WINDOW_SECONDS>,
     /// A value of 1 for each call on an idle connection that was reset or not answered, of 0 for others.
-    pub(crate) idle_results: SlidingWindow<IDLE_RESULT_SECONDS>,
+    pub(crate) idle_results: SlidingWindow<IDLE_RESULT_WINDOW_SECONDS>,
     /// Calls in a row that found a connection, by kind of destination.
-    pub(crate) connected_in_a_row: BTreeMap<DestinationKindId, u32>,
+    pub(crate) consecutive_connected_calls: BTreeMap<DestinationKindId, u32>,
     /// Endpoints whose idle connections are to be reviewed in this step.
-    pub(crate) review_idle: Vec<EndpointId>,
+    pub(crate) idle_review_queue: Vec<EndpointId>,
     pub(crate) poll_at: Option<Duration>,
     pub(crate) poll_failures: u32,
     /// The list may be stale: nothing is sent until then, or until discovery answers.
@@ -154,19 +154,19 @@
             self.idle_results.add_flag(self.now, was_lost);
         }
         if call.is_over {
-            self.review_idle.push(call.endpoint);
+            self.idle_review_queue.push(call.endpoint);
             if let Some(endpoint) = self.endpoints.get_mut(call.endpoint) {
                 endpoint.call_ended(self.now);
-                let connected = self.connected_in_a_row.entry(endpoint.kind).or_default();
+                let connected = self.consecutive_connected_calls.entry(endpoint.kind).or_default();
                 *connected = if was_refused { 0 } else { connected.saturating_add(1) };
             }
         }
         if (call.is_first_result && was_refused) || (call.on_idle_connection && was_lost) {
-            self.review_idle.extend(self.endpoints.with_connections());
+            self.idle_review_queue.extend(self.endpoints.with_connections());
         }
     }
 
-    pub(crate) fn holds_work(&self) -> bool {
+    pub(crate) fn has_work(&self) -> bool {
         let holds_messages = !self.messages.is_empty() || self.calls.len() > 0;
         holds_messages || self.endpoints.any_unavailable() || self.poll_at.is_some()
     }
--- a/src/state/routes.rs
+++ b/src/state/routes.rs
@@ -2,8 +2,8 @@
 
 use super::{CallNumber, SlidingWindow, TokenBucket};
 use crate::interface::*;
-use crate::policy::circuit_breaker::RECENT_RESULT_SECONDS;
-use crate::policy::pacing::OWN_RATE_SECONDS;
+use crate::policy::circuit_breaker::RECENT_RESULT_WINDOW_SECONDS;
+use crate::policy::pacing::RATE_ESTIMATE_WINDOW_SECONDS;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -55,13 +55,13 @@
     /// This relay's share of the rate limit.
     pub(crate) rate_share: f64,
     /// When the share was last cut; zero if it never was.
-    pub(crate) rate_share_cut_at: Duration,
+    pub(crate) rate_share_decreased_at: Duration,
     pub(crate) rate_budget: TokenBucket,
     pub(crate) slow_start_since: Option<Duration>,
     pub(crate) slow_start_budget: TokenBucket,
     /// A value of 1 for each failure, of 0 for each answer.
-    pub(crate) recent_results: SlidingWindow<RECENT_RESULT_SECONDS>,
-    pub(crate) answered_calls: SlidingWindow<OWN_RATE_SECONDS>,
+    pub(crate) recent_results: SlidingWindow<RECENT_RESULT_WINDOW_SECONDS>,
+    pub(crate) answered_calls: SlidingWindow<RATE_ESTIMATE_WINDOW_SECONDS>,
 }
 
 impl Route {
@@ -112,9 +112,9 @@
         self.consecutive_rejections += 1;
     }
 
-    pub(crate) fn cut_rate_share(&mut self, now: Duration, most: f64, factor: f64, least: f64) {
+    pub(crate) fn decrease_rate_share(&mut self, now: Duration, most: f64, factor: f64, least: f64) {
         self.rate_share = (self.rate_share.min(most) * factor).max(least);
-        self.rate_share_cut_at = now;
+        self.rate_share_decreased_at = now;
     }
 
     pub(crate) fn extend_retry_after(&mut self, until: Duration) {
@@ -137,10 +137,10 @@
 
     /// True while a `Retry-After` or a slow start must not be forgotten.
     pub(crate) fn binds(&self, now: Duration, slow_start_duration: Duration) -> bool {
-        now < self.retry_after_until || self.slow_start_at(now, slow_start_duration).is_some()
+        now < self.retry_after_until || self.active_slow_start(now, slow_start_duration).is_some()
     }
 
-    fn slow_start_at(&self, now: Duration, slow_start_duration: Duration) -> Option<Duration> {
+    fn active_slow_start(&self, now: Duration, slow_start_duration: Duration) -> Option<Duration> {
         self.slow_start_since.filter(|since| now < *since + slow_start_duration)
     }
 
@@ -162,7 +162,7 @@
             endpoint: id.endpoint,
             retry_after_until: if retry_after_binds { self.retry_after_until } else { Duration::ZERO },
             open_until,
-            slow_start_since: self.slow_start_at(now, slow_start_duration),
+            slow_start_since: self.active_slow_start(now, slow_start_duration),
         };
         let is_needed = retry_after_binds || open_until.is_some() || snapshot.slow_start_since.is_some();
         is_needed.then_some(snapshot)
@@ -191,7 +191,7 @@
     by_id: BTreeMap<RouteId, Route>,
     /// Routes that may have something to be persisted: those changed since the last look, and those that had something
     /// then. As time passes nothing is added, so no look walks over the others.
-    may_persist: BTreeSet<RouteId>,
+    persist_candidates: BTreeSet<RouteId>,
     persisted: Vec<RouteSnapshot>,
     log_lines: Vec<String>,
 }
@@ -203,13 +203,13 @@
 
     pub(crate) fn get_mut(&mut self, id: RouteId) -> Option<&mut Route> {
         let route = self.by_id.get_mut(&id)?;
-        self.may_persist.insert(id);
+        self.persist_candidates.insert(id);
         Some(route)
     }
 
     /// The route, which is `new` if it was not known.
     pub(crate) fn get_or_insert(&mut self, id: RouteId, new: Route) -> &mut Route {
-        self.may_persist.insert(id);
+        self.persist_candidates.insert(id);
         self.by_id.entry(id).or_insert(new)
     }
 
@@ -256,8 +256,8 @@
 
     /// How many routes the next look for changed snapshots walks over.
     #[cfg(test)]
-    pub(crate) fn looked_at(&self) -> usize {
-        self.may_persist.len()
+    pub(crate) fn persist_candidate_count(&self) -> usize {
+        self.persist_candidates.len()
     }
 
     /// What must outlive the process, if that changed since it was last asked for.
@@ -267,7 +267,7 @@
         slow_start_duration: Duration,
     ) -> Option<&[RouteSnapshot]> {
         let mut snapshots = Vec::new();
-        self.may_persist.retain(|id| {
+        self.persist_candidates.retain(|id| {
             let route = self.by_id.get(id);
             let snapshot = route.and_then(|route| route.snapshot(*id, now, slow_start_duration));
             snapshots.extend(snapshot);
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -193,9 +193,9 @@
     assert_eq!(endpoint.concurrency_limit, 4.25);
     endpoint.record_success(seconds(1.0), seconds(0.1), 4.3);
     assert_eq!(endpoint.concurrency_limit, 4.3, "the maximum");
-    endpoint.cut_concurrency_limit(0.5);
+    endpoint.decrease_concurrency_limit(0.5);
     assert_eq!(endpoint.concurrency_limit, 2.15);
-    endpoint.cut_concurrency_limit(0.1);
+    endpoint.decrease_concurrency_limit(0.1);
     assert_eq!(endpoint.concurrency_limit, 1.0);
 }
 
@@ -203,12 +203,12 @@
 fn an_endpoint_is_held_off_after_failures_in_a_row() {
     let mut endpoint = Endpoint { concurrency_limit: 4.0, ..Endpoint::default() };
     endpoint.record_failure(0.6, 2, seconds(3.0));
-    assert_eq!(endpoint.hold_off_until, Duration::ZERO);
+    assert_eq!(endpoint.skip_until, Duration::ZERO);
     endpoint.record_success(seconds(1.0), seconds(0.1), 24.0);
     endpoint.record_failure(0.6, 2, seconds(4.0));
-    assert_eq!(endpoint.hold_off_until, Duration::ZERO, "an answer came between");
+    assert_eq!(endpoint.skip_until, Duration::ZERO, "an answer came between");
     endpoint.record_failure(0.6, 2, seconds(5.0));
-    assert_eq!(endpoint.hold_off_until, seconds(5.0));
+    assert_eq!(endpoint.skip_until, seconds(5.0));
 }
 
 #[test]
@@ -372,11 +372,11 @@
 fn a_look_for_changed_snapshots_walks_over_no_idle_route() {
     let mut routes = idle_routes(50_000);
     routes.changed_snapshots(seconds(0.0), seconds(2.0));
-    assert_eq!(routes.looked_at(), 0);
+    assert_eq!(routes.persist_candidate_count(), 0);
     let id = RouteId { destination: DestinationId(7), endpoint: None };
     routes.set_breaker(id, Breaker::Open(seconds(1.0)));
     routes.changed_snapshots(seconds(0.5), seconds(2.0));
-    assert_eq!(routes.looked_at(), 1);
+    assert_eq!(routes.persist_candidate_count(), 1);
 }
 
 fn submission(key: u64) -> Submission {
@@ -434,7 +434,7 @@
     let mut messages = Messages::default();
     messages.insert(first, Message::new(&submission(9), &class));
     messages.insert(second, Message::new(&submission(9), &class));
-    let is_next = |messages: &Messages, id| messages.is_turn(id, &messages[id], seconds(0.0));
+    let is_next = |messages: &Messages, id| messages.is_next_for_key(id, &messages[id], seconds(0.0));
     assert_eq!(messages.waiting(seconds(0.0))[&DestinationId(4)], [first]);
     messages.end(first, false);
     assert!(messages.waiting(seconds(0.0)).is_empty());
@@ -456,15 +456,15 @@
     draft.add(seconds(4.0), seconds(1.0), 10);
     draft.add(seconds(2.0), seconds(0.6), 20);
     assert!(draft.is_full());
-    assert_eq!(draft.shortest_with(seconds(3.0)), seconds(2.0));
-    assert_eq!(draft.longest_with(seconds(3.0)), seconds(4.0));
+    assert_eq!(draft.shortest_time_with(seconds(3.0)), seconds(2.0));
+    assert_eq!(draft.longest_time_with(seconds(3.0)), seconds(4.0));
     calls.insert(draft.number, draft.call(route_id(), seconds(10.0), true));
     assert_eq!(calls.in_flight_to(DestinationId(4)), 1);
-    assert!(calls.is_result_due(route_id()));
+    assert!(calls.has_pending_result(route_id()));
     assert!(calls.count_overdue(seconds(10.9)).is_empty());
     let first = calls.end_attempt(5, EndpointId(1)).expect("in flight");
     assert!(first.is_first_result && first.filled && first.on_idle_connection && !first.is_over);
-    assert!(!calls.is_result_due(route_id()));
+    assert!(!calls.has_pending_result(route_id()));
     assert!(calls.count_overdue(seconds(11.0)).is_empty(), "its result is counted");
     let last = calls.end_attempt(5, EndpointId(1)).expect("in flight");
     assert!(!last.is_first_result && !last.filled && !last.on_idle_connection && last.is_over);
