--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -1,42 +1,42 @@
-//! The end of an attempt: what the endpoint answered, how the call ended, and what that tells of the run.
+//! The end of an attempt: the endpoint's response, the end of the call, and the resulting state of the run.
 //!
-//! These are separate facts. The circuit breaker, retries and backoff go by the [`Outcome`]; whether the message may be
-//! sent again and when the next one of its key may be sent goes by the [`RunState`] alone. An answer that can't be read is
-//! an error to the one and an attempt that may still be running to the other.
+//! These are separate facts. The circuit breaker, retries and backoff depend on the [`Outcome`]. Whether a
+//! message may be sent again, and when the next one of its key may be sent, depends on the [`RunState`] alone.
+//! For example, a response that can't be parsed is an error, but its attempt may still be running.
 
 use std::time::Duration;
 
-/// What the endpoint answered, or why there is no answer.
+/// The endpoint's response to an attempt, or the reason why there is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The endpoint confirmed the delivery.
     Delivered,
-    /// The endpoint answered with an error, or with something that can't be read.
+    /// The endpoint responded with an error, or with something that can't be parsed.
     Error,
     /// Rejected without being processed.
     Rejected {
-        /// The `Retry-After` of the answer, or zero.
+        /// The `Retry-After` of the response, or zero.
         retry_after: Duration,
     },
     /// Rejected without being processed, as the endpoint's connection limit is reached.
     ConnectionLimit,
-    /// No answer within the attempt's time limit.
+    /// No response within the attempt's time limit.
     TimedOut,
-    /// The connection never came up.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The connection was closed or reset before the answer was complete.
+    /// The connection was closed or reset before the response was complete.
     Reset,
-    /// The attempt was cancelled by the relay.
+    /// The relay cancelled the attempt.
     Cancelled,
-    /// Never left the relay, or was not passed on by the endpoint.
+    /// Not sent by the relay, or not processed by the endpoint.
     NotSent,
-    /// Never left the relay, for a shortage of the relay's own machine: descriptors, ports, memory, a state folder that
-    /// can't be written. It tells nothing of the destination, and is no attempt.
+    /// Not sent because of a shortage on the relay's own machine: descriptors, ports, memory, a state folder
+    /// that can't be written. It says nothing about the destination and does not count as an attempt.
     LocalFailure,
 }
 
 impl Outcome {
-    /// How the call ended, for a host that sees an answer whole or not at all.
+    /// Returns the end of the call, for a host that sees either a complete response or none.
     pub fn call_end(self) -> CallEnd {
         match self {
             Outcome::Delivered | Outcome::Error | Outcome::Rejected { .. } | Outcome::ConnectionLimit => {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Its name in metrics and log lines.
+    /// Returns its name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Delivered => "delivered",
@@ -64,18 +64,19 @@
     }
 }
 
-/// How a call ended, whatever its answer said.
+/// The end of a call, independent of the content of its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// Before its last byte was written: nothing of it can run.
+    /// The request was not written completely, so no message of it can run.
     NotWritten,
-    /// Its answer was read to its end: the endpoint is done with it.
+    /// The response was read completely, so the endpoint has finished the call.
     Answered,
-    /// The relay or the endpoint ended it before the answer was whole: the endpoint may still be at work.
+    /// The relay or the endpoint ended the call before the response was complete; the endpoint may still
+    /// process it.
     Interrupted,
 }
 
-/// What is known of the run of an attempt that has ended for the relay.
+/// The known state of the run of a message at the endpoint, after its attempt has ended for the relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
     /// It took no effect and will take none.
@@ -89,7 +90,7 @@
 }
 
 impl RunState {
-    /// The protocol's table of outcomes, and the only place that derives the state of a run.
+    /// Returns the state of a run by the protocol's table of outcomes. It is derived only here.
     pub fn from_call(outcome: Outcome, end: CallEnd) -> RunState {
         match (end, outcome) {
             (CallEnd::NotWritten, _) => RunState::NeverRan,
@@ -102,12 +103,12 @@
         }
     }
 
-    /// The state behind an answer that was read whole, or behind none.
+    /// Returns the state of a run if the response was either read completely or missing.
     pub fn from_outcome(outcome: Outcome) -> RunState {
         RunState::from_call(outcome, outcome.call_end())
     }
 
-    /// Its name in metrics and log lines.
+    /// Returns its name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             RunState::NeverRan => "never_ran",
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -5,9 +5,9 @@
 /// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Takes messages.
+    /// Accepts messages.
     Ready,
-    /// Leaves: takes no new messages.
+    /// Shutting down: accepts no new messages.
     Draining,
     /// No longer on the list.
     Removed,
@@ -18,14 +18,14 @@
 pub struct ListedEndpoint {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Whose address it is.
+    /// Its destination.
     pub destination: DestinationId,
-    /// Where it stands.
+    /// Its zone.
     pub zone: ZoneId,
     /// The kind of its destination.
     pub kind: DestinationKindId,
-    /// Whether it takes messages.
+    /// Its state in the list.
     pub status: EndpointStatus,
-    /// The listed rate of its route, calls a second over all relays; 0 if none is listed.
+    /// The listed rate of its route, in calls per second of all relays together; 0 if none is listed.
     pub rate: f64,
 }
--- a/src/interface/handover.rs
+++ b/src/interface/handover.rs
@@ -1,19 +1,19 @@
-//! What a route leaves to the next process of the relay.
+//! Route state that is handed over to the next process of the relay.
 
 use super::{DestinationId, EndpointId};
 use std::time::Duration;
 
-/// What a route leaves to the next process of the relay at an upgrade; spans since this process's start.
+/// State of a route that is handed over to the next process at an upgrade; times since this process's start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteSnapshot {
     /// The destination.
     pub destination: DestinationId,
-    /// The endpoint, where endpoints of the kind are independent.
+    /// The endpoint, if endpoints of this kind of destination are independent.
     pub endpoint: Option<EndpointId>,
-    /// A `Retry-After` binds until then; zero if none does.
+    /// End of the current `Retry-After`; zero if there is none.
     pub retry_after_until: Duration,
-    /// The breaker is open until then, due for a trial at zero; none if it is closed.
+    /// Time until which the breaker is open, zero if a trial is due; none if the breaker is closed.
     pub open_until: Option<Duration>,
-    /// The route came back from an outage then and is still in slow start.
+    /// Start of the current slow start after an outage, if there is one.
     pub slow_start_since: Option<Duration>,
 }
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Ids. Each is a number that its host has chosen; the decisions compare them and hash some.
+//! Ids. Each is a number chosen by the host; the decisions compare them and hash some.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
@@ -9,23 +9,23 @@
 }
 
 ids! {
-    /// A relay, counted from 0 among its peers.
+    /// The number of a relay in its fleet, from 0.
     RelayId(u32);
-    /// A message; never used twice.
+    /// A message; never reused.
     MessageId(u64);
     /// A destination.
     DestinationId(u32);
-    /// One address of a destination; opaque.
+    /// An address of a destination; opaque.
     EndpointId(u64);
     /// A message class, by position in [`crate::interface::PolicySettings::classes`].
     ClassId(u16);
-    /// A customer, by position in [`crate::interface::PolicySettings::tenant_quotas`].
+    /// A tenant, by position in [`crate::interface::PolicySettings::tenant_quotas`].
     TenantId(u32);
-    /// A place, by number.
+    /// A zone.
     ZoneId(u16);
     /// A kind of destination, by position in [`crate::interface::PolicySettings::destination_kinds`].
     DestinationKindId(u16);
-    /// Messages with the same key are delivered in the order in which they were submitted.
+    /// An ordering key: messages with the same key are delivered in the order in which they were submitted.
     OrderingKey(u64);
     /// The number of a message's attempt, from 0.
     AttemptNumber(u8);
--- a/src/interface/input.rs
+++ b/src/interface/input.rs
@@ -1,80 +1,80 @@
-//! What a host tells the decisions.
+//! Inputs that a host passes to the decisions.
 
 use super::{EndpointId, ListedEndpoint, MessageId, Outcome, RouteSnapshot, RunState, Submission, ZoneId};
 use std::time::Duration;
 
-/// What a host tells the decisions, in the order in which it happened.
+/// An event that a host passes to the decisions, in the order of occurrence.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A message was accepted.
     Submitted {
         /// The message.
         message: MessageId,
-        /// What is known of it.
+        /// Its properties.
         submission: Submission,
     },
-    /// An attempt from before a restart; without an outcome that proves the contrary it may have run.
+    /// An attempt from before a restart; it may have run unless its outcome proves the contrary.
     EarlierAttempt {
         /// The message, submitted before.
         message: MessageId,
-        /// Where it was sent.
+        /// The zone of its endpoint.
         zone: ZoneId,
-        /// When it was sent.
+        /// The time of its call.
         at: Duration,
-        /// False if its outcome proved that it took no effect.
+        /// Whether it may have taken effect; false if its outcome proves the contrary.
         may_have_run: bool,
     },
-    /// The message got its final answer before a restart, and the answer has not been taken yet.
+    /// The message had its final answer before a restart, and the answer has not been acknowledged yet.
     FinalAnswerPending(MessageId),
-    /// The message was withdrawn, or its final answer was taken: nothing more is sent for it.
+    /// The message was withdrawn, or its final answer was acknowledged: nothing more is sent for it.
     Closed(MessageId),
     /// An attempt ended.
     AttemptEnded {
         /// The message.
         message: MessageId,
-        /// Where it was sent.
+        /// The endpoint of its call.
         endpoint: EndpointId,
-        /// How long it was in flight.
+        /// The time that it was in flight.
         elapsed: Duration,
-        /// What the endpoint answered.
+        /// The endpoint's response.
         outcome: Outcome,
-        /// What is known of its run.
+        /// The known state of its run.
         run: RunState,
-        /// Nothing more is sent for the message.
+        /// Whether the message is closed: nothing more is sent for it.
         closed: bool,
     },
-    /// Rule 6: a `Retry-After`, whichever answer tells it and however late it comes.
+    /// Rule 6: a `Retry-After` of any response, however late it arrives.
     RetryAfter {
-        /// Who told it.
+        /// The endpoint that sent it.
         endpoint: EndpointId,
-        /// How long it binds, from now on.
+        /// Its duration, from now on.
         span: Duration,
     },
-    /// An answer told a rate limit, in calls a second of all relays together: late, and not exact.
+    /// A response reported a rate limit for all relays together, which is late and inexact.
     RateLimitReported {
-        /// Who told it.
+        /// The endpoint that reported it.
         endpoint: EndpointId,
-        /// Calls a second.
+        /// The limit, in calls per second.
         rate: f64,
     },
-    /// A full list begins: endpoints that the entries behind it don't name are removed.
+    /// A full list begins: endpoints without an entry after this input are removed.
     FullListBegins,
     /// An entry of the endpoint list or of a list update.
     EndpointListed(ListedEndpoint),
-    /// Discovery answered.
+    /// Discovery responded.
     ListReceived,
-    /// The list held at a start may be older than what discovery told since.
+    /// The list held at a start may be older than the latest list of discovery.
     ListMayBeStale,
     /// A call for the endpoint list failed.
     PollFailed {
-        /// The `Retry-After` that discovery told.
+        /// The `Retry-After` of discovery's response, if any.
         retry_after: Option<Duration>,
     },
-    /// The endpoint was in maintenance and was restarted meanwhile.
+    /// The endpoint was restarted while it was in maintenance.
     EndpointRestarted(EndpointId),
-    /// A successor takes over all that this process holds: no attempt is sent from now on. Final answers that
-    /// are due still come.
+    /// A successor takes over the messages of this process: no attempt is sent from now on. Final answers that
+    /// are due are still given.
     HandoverStarted,
-    /// What an earlier process of this relay left, in this process's spans.
+    /// Route state of an earlier process of this relay, with times since this process's start.
     RoutesRestored(Vec<RouteSnapshot>),
 }
--- a/src/interface/message.rs
+++ b/src/interface/message.rs
@@ -1,9 +1,9 @@
-//! Messages: what a class of them is, what is known of one when it is submitted, its turn among those of its key.
+//! Messages: their classes, their properties at submission, and their position in the order of their key.
 
 use super::{ClassId, DestinationId, MessageId, OrderingKey, RunState, TenantId};
 use std::time::Duration;
 
-/// What running a message twice would do, the harmless first.
+/// The effect of running a message twice, the harmless ones first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Idempotency {
     /// A second run does no harm.
@@ -11,9 +11,9 @@
     /// The message carries an idempotency key: repeats are dropped for `window` from the first attempt that
     /// may have run, at endpoints in `scope`.
     WithKey {
-        /// For how long an endpoint recognises a repeat.
+        /// Time for which an endpoint recognises a repeat.
         window: Duration,
-        /// Which endpoints recognise it.
+        /// Endpoints that recognise it.
         scope: DeduplicationScope,
     },
     /// A second run does harm: the message must not be sent again once it may have run.
@@ -21,12 +21,12 @@
 }
 
 impl Idempotency {
-    /// For how long repeats are dropped, where they are.
+    /// Returns the time for which endpoints drop repeats, if they do.
     pub fn deduplication_window(self) -> Option<Duration> {
         if let Idempotency::WithKey { window, .. } = self { Some(window) } else { None }
     }
 
-    /// True where a message that has run does no harm wherever it runs again.
+    /// Returns whether a message that has run may run again at any endpoint without harm.
     pub fn is_safe_to_repeat_at_any_endpoint(self) -> bool {
         matches!(
             self,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Which endpoints of a destination recognise a repeat.
+/// The endpoints of a destination that recognise a repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeduplicationScope {
     /// All endpoints of the destination.
@@ -44,91 +44,91 @@
     SameZone,
 }
 
-/// How a message's priority weight falls after its latency objective.
+/// The decay of a message's priority weight after its latency objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Decay {
-    /// In a straight line up to the deadline.
+    /// Linear until the deadline.
     #[default]
     Linear,
-    /// By half in each further span of the latency objective.
+    /// Halved with each further span of the latency objective.
     Halving,
 }
 
-/// What is known of a message when it is submitted.
+/// The properties of a message at its submission.
 #[derive(Clone, Copy, Debug)]
 pub struct Submission {
     /// Its message class.
     pub class: ClassId,
-    /// Whose message it is.
+    /// The tenant that sends it.
     pub tenant: TenantId,
-    /// Where it goes.
+    /// Its destination.
     pub destination: DestinationId,
-    /// The key by which its class keeps messages in order.
+    /// Its ordering key, used if its class is ordered.
     pub key: Option<OrderingKey>,
-    /// When its final answer is due at the latest.
+    /// The time by which it must have its final answer.
     pub deadline: Duration,
-    /// Bytes that it takes at most in a call of several messages; 0 where a host has no such limit.
+    /// Maximum size, in bytes, of its entry in a call of several messages; 0 if a host has no such limit.
     pub batch_entry_bytes: usize,
-    /// An earlier process of the relay accepted it.
+    /// Whether an earlier process of the relay accepted it.
     pub restored: bool,
 }
 
-/// A message class, as the settings describe it.
+/// A message class, as defined by the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageClass {
-    /// The span from submission to the time by which a delivery earns its full weight.
+    /// Time from submission within which a delivery earns the full weight.
     pub latency_objective: Duration,
-    /// The span from submission to the deadline.
+    /// Time from submission to the deadline.
     pub deadline: Duration,
-    /// What a delivery within the latency objective is worth, beside other classes.
+    /// Weight of a delivery within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// The share of the priority weight left at the deadline.
+    /// Share of the priority weight that remains at the deadline.
     pub late_weight_share: f64,
-    /// What running a message twice would do.
+    /// The effect of running a message twice.
     pub idempotency: Idempotency,
-    /// Messages with the same key are delivered in order.
+    /// Whether messages with the same key are delivered in order.
     pub in_order: bool,
 }
 
-/// Whether it is a message's turn among those of its key, and what it waits for if not.
+/// A message's position in the order of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderingState {
-    /// It is, or the message has no key.
+    /// It may be sent next, or has no key.
     Next,
-    /// This one is before it.
+    /// This message precedes it.
     QueuedBehind(MessageId),
-    /// An attempt of this one may still be running until then.
+    /// It waits until this time, as an attempt of this message may still be running.
     HeldOff(MessageId, Duration),
 }
 
-/// The attempt of a message that is closed.
+/// The attempt of a message that is being closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClosingAttempt {
-    /// One may be in flight, which goes on.
+    /// An attempt may be in flight and continues.
     InFlight,
-    /// The end of its only one in flight closes it.
+    /// The message is closed by the end of its only attempt in flight.
     Ended(RunState),
 }
 
-/// Why an attempt that was decided may not begin after all.
+/// The reason why an attempt that was decided may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// The message has its final answer, or is withdrawn.
+    /// The message has its final answer, or was withdrawn.
     Ended,
-    /// Its deadline is over (rule 1).
+    /// Its deadline has passed (rule 1).
     DeadlinePassed,
     /// An earlier attempt may have run, and the message must not run twice (rule 2).
     UnsafeRepeat,
-    /// No endpoint recognises the repeat any more (rule 2).
+    /// The deduplication window of a repeat is over (rule 2).
     DeduplicationExpired,
-    /// The endpoint is draining or removed, or a `Retry-After` binds (rules 3 and 6).
+    /// The endpoint is draining or removed, or a `Retry-After` applies (rules 3 and 6).
     EndpointUnavailable,
-    /// Another message of its key is before it, or an attempt of one may still be running (rule 5).
+    /// Another message of its key precedes it, or an attempt of one may still be running (rule 5).
     OutOfOrder,
 }
 
 impl SendError {
-    /// Its name in metrics and log lines.
+    /// Returns its name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             SendError::Ended => "ended",
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! The interface between the decisions and the program that carries them out. Holds no decision.
+//! The interface between the decisions and the program that carries them out. It contains no decisions.
 //!
-//! A host turns what it sees into [`Input`]s, hands them to the decisions once a step, and carries out the
-//! [`Actions`] that come back. Times are spans since the start of the process.
+//! A host turns events into [`Input`]s, passes them to the decisions once per step, and carries out the
+//! resulting [`Actions`]. Times are durations since the start of the process.
 
 mod actions;
 mod attempt;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -3,24 +3,24 @@
 use super::{Decay, MessageClass, RelayId, ZoneId};
 use std::time::Duration;
 
-/// Bytes of a call of several messages, or of several notifications, at most: the protocol lets a body hold no more.
+/// Maximum body size, in bytes, of a call of several messages or notifications, as the protocol defines it.
 pub const MAX_CALL_BYTES: usize = 64 * 1024;
 
-/// A kind of destination, as the settings describe it.
+/// A kind of destination, as defined by the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct DestinationKind {
-    /// Each endpoint is a route of its own, with its own limit and outages.
+    /// Whether each endpoint is a separate route, with its own rate limit and breaker.
     pub independent_endpoints: bool,
-    /// Messages in one call at most.
+    /// Maximum number of messages in one call.
     pub max_batch: usize,
 }
 
-/// How the rate in the endpoint list is to be read.
+/// Accuracy of the rates in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListedRate {
-    /// As it stands.
+    /// The rate is exact.
     Exact,
-    /// It may be off.
+    /// The rate may deviate.
     Approximate,
     /// No rate is listed.
     #[default]
@@ -32,9 +32,9 @@
 pub struct PolicySettings {
     /// This relay.
     pub relay: RelayId,
-    /// Seeds the jitter.
+    /// Seed of the jitter.
     pub seed: u64,
-    /// How many relays send to the same destinations.
+    /// Number of relays that send to the same destinations.
     pub relay_count: u32,
     /// The zone of this relay.
     pub zone: ZoneId,
@@ -42,40 +42,40 @@
     pub classes: Vec<MessageClass>,
     /// The kinds of destinations, by [`super::DestinationKindId`].
     pub destination_kinds: Vec<DestinationKind>,
-    /// Each tenant's messages a second within its quota, over all relays, by [`super::TenantId`].
+    /// Each tenant's quota, in messages per second over all relays, by [`super::TenantId`].
     pub tenant_quotas: Vec<f64>,
-    /// How priority weights fall after the latency objective.
+    /// Decay of priority weights after the latency objective.
     pub decay: Decay,
-    /// Calls in flight at most.
+    /// Maximum number of calls in flight.
     pub max_calls_in_flight: usize,
-    /// Messages held at most.
+    /// Maximum number of messages held.
     pub max_queued: usize,
-    /// Attempts for one message at most.
+    /// Maximum number of attempts for one message.
     pub max_attempts: u8,
-    /// How the rate in the endpoint list is to be read.
+    /// Accuracy of the rates in the endpoint list.
     pub listed_rate: ListedRate,
-    /// The endpoint list comes only when asked for.
+    /// Whether the relay must poll discovery for the endpoint list.
     pub requires_polling: bool,
-    /// Where it does: how often a relay is to ask.
+    /// Interval between polls of a relay that must poll.
     pub poll_interval: Duration,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// The longest `Retry-After` that a client may be told.
+    /// Longest `Retry-After` that may be sent to a client.
     pub max_retry_after: Duration,
-    /// How long after a drain was told new messages may still arrive.
+    /// Time after the announcement of a drain in which new messages may still arrive at the endpoint.
     pub drain_grace: Duration,
-    /// How long an attempt that may still be running holds off the next message of its key.
+    /// Hold-off of a key after an attempt that may still be running.
     pub order_hold_off: Duration,
-    /// The share of its rate that a destination bears as it comes back from an outage.
+    /// Share of its rate that a destination can handle right after an outage.
     pub slow_start_share: f64,
-    /// How long it takes until the destination bears its whole rate again.
+    /// Time after an outage until the destination can handle its whole rate again.
     pub slow_start_duration: Duration,
-    /// A destination in slow start fails again under this multiple of what it bears ...
+    /// Load under which a destination in slow start fails again, as a multiple of the rate that it can handle.
     pub overload_multiple: f64,
-    /// ... within this span.
+    /// Time within which an overload makes a destination in slow start fail again.
     pub overload_window: Duration,
-    /// What a call costs by zone of the endpoint, by [`super::ZoneId`].
+    /// Cost of a call, by [`super::ZoneId`] of the endpoint.
     pub zone_fees: Vec<f64>,
-    /// What a call to another zone costs.
+    /// Cost of a call to another zone.
     pub cross_zone_price: f64,
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -49,8 +49,8 @@
     let mut queued: Vec<_> = queued.map(|(id, message)| (weight(state, message), id)).collect();
     queued.sort_by(|a, b| a.0.total_cmp(&b.0));
     for (_, id) in queued.into_iter().take(held - most) {
-        let is_taken = out.reject(id, state.settings.max_retry_after);
-        state.messages.end(id, is_taken);
+        let is_acknowledged = out.reject(id, state.settings.max_retry_after);
+        state.messages.end(id, is_acknowledged);
     }
 }
 
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -80,8 +80,8 @@
 pub(super) fn fail_undeliverable_messages(state: &mut State, out: &mut dyn Actions) {
     let undeliverable = state.messages.open().filter(|(_, message)| is_undeliverable(state, message));
     for id in undeliverable.map(|(id, _)| id).collect::<Vec<_>>() {
-        let is_taken = out.fail(id);
-        state.messages.end(id, is_taken);
+        let is_acknowledged = out.fail(id);
+        state.messages.end(id, is_acknowledged);
     }
 }
 
--- a/src/state/messages.rs
+++ b/src/state/messages.rs
@@ -195,11 +195,11 @@
     }
 
     /// The message has its final outcome. Until that was taken it keeps its place in its key queue (rule 5).
-    pub(crate) fn end(&mut self, id: MessageId, is_taken: bool) {
+    pub(crate) fn end(&mut self, id: MessageId, is_acknowledged: bool) {
         if let Some(message) = self.get_mut(id) {
             message.ended = true;
         }
-        if is_taken {
+        if is_acknowledged {
             self.close(id);
         }
     }
