--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -55,7 +55,7 @@
     for id in state.endpoints.unused(state.now, state.settings.drain_grace) {
         let route_id = state.endpoints[id].route;
         let route = state.routes.get(route_id).filter(|_| state.endpoints.is_last_of_route(route_id));
-        if !route.is_some_and(|route| route.binds(state.now, state.settings.slow_start_duration)) {
+        if !route.is_some_and(|route| route.must_be_kept(state.now, state.settings.slow_start_duration)) {
             state.forget(id);
             out.forget_endpoint(id);
         }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -31,7 +31,7 @@
     // Rule 5: an attempt that may still be running delays the other messages of its key. The outcome does not
     // show this: an error may be a response that the relay stopped reading.
     if ended.run == RunState::MayBeRunning {
-        state.messages.hold_off_key(id, state.now + state.settings.order_hold_off);
+        state.messages.add_key_hold_off(id, state.now + state.settings.order_hold_off);
     }
     if ended.closed || state.messages[id].ended {
         state.messages.close(id);
--- a/src/state/backoff.rs
+++ b/src/state/backoff.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// A span that grows with each step.
+/// A delay that grows exponentially with each step.
 pub(crate) struct Backoff {
     pub(crate) first: Duration,
     pub(crate) growth: f64,
@@ -10,7 +10,7 @@
 }
 
 impl Backoff {
-    /// The span after `steps` steps; `max` is reached long before the 9th.
+    /// Returns the delay after `steps` steps; the growth is capped at 9 steps, long after `max` is reached.
     pub(crate) fn after(&self, steps: u32) -> Duration {
         self.first.mul_f64(self.growth.powi(steps.min(9) as i32)).min(self.max)
     }
--- a/src/state/calls.rs
+++ b/src/state/calls.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A call's number; never used twice.
+/// A call's number; never reused.
 pub(crate) type CallNumber = u64;
 
 /// A call in flight.
@@ -15,22 +15,22 @@
     pub(crate) endpoint: EndpointId,
     pub(crate) attempts_in_flight: u32,
     pub(crate) sent_at: Duration,
-    /// The time-out learnt: behind it the call is overdue.
+    /// The timeout, after which the call is overdue.
     pub(crate) overdue_after: Duration,
-    /// Its result has been counted for its route.
+    /// Whether its result has been counted for its route.
     pub(crate) result_counted: bool,
     pub(crate) cancelled: bool,
-    /// It carries as many messages as the route took.
+    /// Whether it carries as many messages as the route allowed.
     pub(crate) filled: bool,
     pub(crate) on_idle_connection: bool,
 }
 
-/// What is known of a call as one of its attempts ends, or as it is overdue.
+/// The state of a call when one of its attempts ends, or when it is overdue.
 pub(crate) struct CallResult {
     pub(crate) number: CallNumber,
     pub(crate) route: RouteId,
     pub(crate) endpoint: EndpointId,
-    /// The call's result has not been counted before.
+    /// Whether the call's result has not been counted before.
     pub(crate) is_first_result: bool,
     pub(crate) is_over: bool,
     pub(crate) filled: bool,
@@ -42,7 +42,7 @@
         now >= self.sent_at + self.overdue_after
     }
 
-    /// Counts the call's result, unless it has been counted.
+    /// Marks the call's result as counted and returns it.
     fn result(&mut self, number: CallNumber, endpoint: EndpointId) -> CallResult {
         let is_first_result = !self.result_counted;
         self.result_counted = true;
@@ -64,7 +64,7 @@
     pub(crate) endpoint: EndpointId,
     pub(crate) messages_allowed: usize,
     pub(crate) messages: usize,
-    /// Bytes that they take.
+    /// Size of the messages.
     bytes: usize,
     overdue_after: Duration,
     shortest_time_left: Duration,
@@ -89,17 +89,17 @@
         self.messages >= self.messages_allowed
     }
 
-    /// The bytes of the call with a message that takes so many.
+    /// Returns the size of the call with another message of this size.
     pub(crate) fn bytes_with(&self, bytes: usize) -> usize {
         self.bytes + bytes
     }
 
-    /// The shortest time left in the call, with a message that has `left`.
+    /// Returns the shortest time to a deadline in the call, with another message that has `left`.
     pub(crate) fn shortest_time_with(&self, left: Duration) -> Duration {
         self.shortest_time_left.min(left)
     }
 
-    /// The longest time left in the call, with a message that has `left`.
+    /// Returns the longest time to a deadline in the call, with another message that has `left`.
     pub(crate) fn longest_time_with(&self, left: Duration) -> Duration {
         self.longest_time_left.max(left)
     }
@@ -126,7 +126,7 @@
     }
 }
 
-/// All calls in flight, by number: the oldest first.
+/// All calls in flight by number, the oldest first.
 #[derive(Default)]
 pub(crate) struct Calls {
     by_number: BTreeMap<CallNumber, Call>,
@@ -149,19 +149,19 @@
         self.by_number.values().filter(|call| call.route.destination == destination).count()
     }
 
-    /// True if the result of a call of the route has not been counted yet.
+    /// Returns whether the result of a call of the route has not been counted yet.
     pub(crate) fn has_pending_result(&self, route: RouteId) -> bool {
         self.by_number.values().any(|call| call.route == route && !call.result_counted)
     }
 
-    /// Counts those whose result is overdue; the oldest first.
+    /// Counts the results of overdue calls and returns them, the oldest first.
     pub(crate) fn count_overdue(&mut self, now: Duration) -> Vec<CallResult> {
         let overdue =
             self.by_number.iter_mut().filter(|(_, call)| !call.result_counted && call.is_overdue(now));
         overdue.map(|(number, call)| call.result(*number, call.endpoint)).collect()
     }
 
-    /// An attempt of the call ended at `endpoint`; with the last one the call is over.
+    /// Records the end of an attempt of the call at `endpoint`; the call is over with its last attempt.
     pub(crate) fn end_attempt(&mut self, number: CallNumber, endpoint: EndpointId) -> Option<CallResult> {
         let call = self.by_number.get_mut(&number)?;
         call.attempts_in_flight -= 1;
--- a/src/state/endpoints.rs
+++ b/src/state/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: what is known of each address of a destination, and their indexes.
+//! Endpoints: the state of each address of a destination, and their indexes.
 
 use super::{CallNumber, RouteId, SlidingWindow};
 use crate::interface::*;
@@ -11,15 +11,15 @@
     pub(crate) route: RouteId,
     pub(crate) zone: ZoneId,
     pub(crate) kind: DestinationKindId,
-    /// Draining or off the list since then.
+    /// Time since which it is draining or off the list.
     pub(crate) unavailable_since: Option<Duration>,
     pub(crate) concurrency_limit: f64,
     pub(crate) calls_in_flight: u32,
     pub(crate) consecutive_failures: u32,
     pub(crate) skip_until: Duration,
-    /// Answer times in seconds.
+    /// Response times in seconds.
     pub(crate) response_times: SlidingWindow<RESPONSE_TIME_WINDOW_SECONDS>,
-    /// When a connection was last used; zero if none is kept.
+    /// Time of the last use of a connection; zero if none is kept.
     pub(crate) last_used_at: Duration,
 }
 
@@ -28,10 +28,10 @@
         Endpoint { route, zone: listed.zone, kind: listed.kind, concurrency_limit, ..Endpoint::default() }
     }
 
-    /// Additive increase: about one call more for each concurrency limit's worth of answers, up to `maximum`.
+    /// Additive increase: about one call more per concurrency limit's number of successes, up to `maximum`.
     pub(crate) fn record_success(&mut self, now: Duration, waited: Duration, maximum: f64) {
         self.response_times.add(now, waited.as_secs_f64());
-        // The limit was used up (one call is back already): without the 2, a limit of one never grew again.
+        // This call is no longer counted in flight. With 1 in place of 2, a limit of one would never grow again.
         let was_at_limit = f64::from(self.calls_in_flight) + 2.0 > self.concurrency_limit;
         let increase = if was_at_limit { 1.0 / self.concurrency_limit } else { 0.0 };
         self.concurrency_limit = (self.concurrency_limit + increase).min(maximum);
@@ -43,7 +43,7 @@
         self.concurrency_limit = (self.concurrency_limit * factor).max(1.0);
     }
 
-    /// Consecutive failures from `dead_from` on hold the endpoint off.
+    /// Counts a failure; from `failure_threshold` consecutive ones on, the endpoint is skipped until `skip_until`.
     pub(crate) fn record_failure(
         &mut self,
         decrease_factor: f64,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// True if the next call finds a connection that was not used for `idle_after`.
+    /// Returns whether the next call would use a connection that was idle for `idle_after`.
     pub(crate) fn has_idle_connection(&self, now: Duration, idle_after: Duration) -> bool {
         self.calls_in_flight == 0 && self.has_connections() && now > self.last_used_at + idle_after
     }
@@ -83,12 +83,12 @@
     last_call: CallNumber,
 }
 
-/// All endpoints, with those of each destination and those that are unavailable.
+/// All endpoints, with indexes by destination and of unavailable ones.
 #[derive(Default)]
 pub(crate) struct Endpoints {
     by_id: BTreeMap<EndpointId, Endpoint>,
     by_destination: BTreeMap<DestinationId, DestinationEndpoints>,
-    /// Kept apart so that a step need not walk over all endpoints.
+    /// An index, so that a step does not have to iterate over all endpoints.
     unavailable: BTreeSet<EndpointId>,
 }
 
@@ -102,12 +102,12 @@
     }
 
     pub(crate) fn of_destination(&self, destination: DestinationId) -> &[EndpointId] {
-        self.by_destination.get(&destination).map_or(&[], |of| &of.endpoints)
+        self.by_destination.get(&destination).map_or(&[], |entry| &entry.endpoints)
     }
 
-    /// The last call to a destination; none if the destination has no endpoints.
+    /// Returns the last call to a destination; none if the destination has no endpoints.
     pub(crate) fn last_call(&self, destination: DestinationId) -> Option<CallNumber> {
-        self.by_destination.get(&destination).map(|of| of.last_call)
+        self.by_destination.get(&destination).map(|entry| entry.last_call)
     }
 
     pub(crate) fn record_success(&mut self, id: EndpointId, now: Duration, waited: Duration, limit_max: f64) {
@@ -134,14 +134,14 @@
         }
     }
 
-    /// A call to the endpoint was sent.
+    /// Records a call to the endpoint.
     pub(crate) fn record_call(&mut self, id: EndpointId, call: CallNumber, now: Duration) {
         let Some(endpoint) = self.by_id.get_mut(&id) else { return };
         endpoint.call_started(now);
         self.by_destination.entry(endpoint.route.destination).or_default().last_call = call;
     }
 
-    /// Adds the endpoint if it is new, and notes whether it takes messages.
+    /// Adds the endpoint if it is new, and records whether it accepts messages.
     pub(crate) fn update(&mut self, id: EndpointId, new: Endpoint, status: EndpointStatus, now: Duration) {
         if !self.by_id.contains_key(&id) {
             self.by_destination.entry(new.route.destination).or_default().endpoints.push(id);
@@ -163,11 +163,11 @@
         }
     }
 
-    pub(crate) fn any_unavailable(&self) -> bool {
+    pub(crate) fn has_unavailable(&self) -> bool {
         !self.unavailable.is_empty()
     }
 
-    /// Endpoints unavailable for at least `grace` with nothing in flight.
+    /// Returns the endpoints that were unavailable for at least `grace` and have no calls in flight.
     pub(crate) fn unused(&self, now: Duration, grace: Duration) -> Vec<EndpointId> {
         let is_unused = |endpoint: &Endpoint| {
             endpoint.calls_in_flight == 0 && endpoint.unavailable_since.is_some_and(|at| now >= at + grace)
@@ -176,7 +176,7 @@
         unavailable.filter(|id| self.get(*id).is_some_and(is_unused)).collect()
     }
 
-    /// True if no other endpoint shares the route.
+    /// Returns whether no other endpoint shares the route.
     pub(crate) fn is_last_of_route(&self, route: RouteId) -> bool {
         route.endpoint.is_some() || self.of_destination(route.destination).len() == 1
     }
--- a/src/state/jitter.rs
+++ b/src/state/jitter.rs
@@ -1,9 +1,9 @@
-//! The seeded random source. The same seed and the same inputs give the same decisions.
+//! The seeded random source. The same seed and the same inputs result in the same decisions.
 
 use crate::interface::RelayId;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Draws by hashing a counter; the counter numbers the calls as well.
+/// Draws random numbers by hashing a counter, which also numbers the calls.
 #[derive(Default)]
 pub(crate) struct Jitter {
     seed: u64,
@@ -16,13 +16,13 @@
         Jitter { seed, relay, count: 0 }
     }
 
-    /// The next number of the counter.
+    /// Returns the next number of the counter.
     pub(crate) fn next_number(&mut self) -> u64 {
         self.count += 1;
         self.count
     }
 
-    /// A number from 0 up to 1, not included.
+    /// Returns a random number from 0 to 1, exclusive.
     pub(crate) fn draw(&mut self, salt: u64) -> f64 {
         let number = self.next_number();
         let mut hasher = DefaultHasher::new();
--- a/src/state/key_queues.rs
+++ b/src/state/key_queues.rs
@@ -1,13 +1,13 @@
 //! Per-key queues: messages with the same key are delivered in the order in which they were submitted.
 //!
-//! The turn of a key belongs to the message at the head of its queue, until nothing more is sent for that one. Behind an
-//! attempt that may still be running the key rests: no other message has the turn until then.
+//! Only the message at the head of a key's queue may be sent, until it is closed. After an attempt that may still be
+//! running the key has a hold-off, during which no other message of the key may be sent.
 
 use crate::interface::{MessageId, OrderingKey, OrderingState};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// A span in which an attempt of a message may still be running.
+/// The hold-off of a key while an attempt of a message may still be running.
 struct HoldOff {
     message: MessageId,
     until: Duration,
@@ -16,7 +16,7 @@
 #[derive(Default)]
 struct KeyQueue {
     messages: VecDeque<MessageId>,
-    /// One for each message at most: a rest behind one message must not end with the rest behind another.
+    /// At most one per message: the hold-off of one message must not end with that of another.
     hold_offs: Vec<HoldOff>,
 }
 
@@ -33,17 +33,17 @@
             Some(first) if *first != message => return OrderingState::QueuedBehind(*first),
             _ => {}
         }
-        // Another attempt of the same message need not wait: its turn goes on.
-        let of_others =
+        // A message does not wait for its own earlier attempt.
+        let others =
             self.hold_offs.iter().filter(|hold_off| hold_off.message != message && hold_off.until > now);
-        match of_others.max_by_key(|hold_off| hold_off.until) {
+        match others.max_by_key(|hold_off| hold_off.until) {
             Some(hold_off) => OrderingState::HeldOff(hold_off.message, hold_off.until),
             None => OrderingState::Next,
         }
     }
 }
 
-/// The queues of all keys. Messages without a key are in none and always next.
+/// The queues of all keys. Messages without a key are in no queue and always next.
 #[derive(Default)]
 pub(crate) struct KeyQueues {
     queues: BTreeMap<OrderingKey, KeyQueue>,
@@ -60,14 +60,14 @@
         }
     }
 
-    /// An attempt of `by` may still be running: until then it is the turn of no other message of the key.
-    pub(crate) fn hold_off(&mut self, key: Option<OrderingKey>, until: Duration, by: MessageId) {
+    /// Adds a hold-off of the key for all messages but `by`, whose attempt may still be running.
+    pub(crate) fn add_hold_off(&mut self, key: Option<OrderingKey>, until: Duration, by: MessageId) {
         if let Some(queue) = key.and_then(|key| self.queues.get_mut(&key)) {
             queue.add_hold_off(by, until);
         }
     }
 
-    /// Until when an attempt of `by` holds off the rest of the key; none if it does not.
+    /// Returns the end of the key's hold-off for an attempt of `by`; none if there is none.
     pub(crate) fn hold_off_end(
         &self,
         key: Option<OrderingKey>,
@@ -80,7 +80,7 @@
         Some(hold_off.until)
     }
 
-    /// Whether it is the message's turn, and what it waits for if not.
+    /// Returns the message's position in the order of its key.
     pub(crate) fn ordering_state(
         &self,
         key: Option<OrderingKey>,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// How many messages wait for the key; 1 for a message without one.
+    /// Returns the number of messages in the key's queue; 1 for a message without a key.
     pub(crate) fn length(&self, key: Option<OrderingKey>) -> usize {
         key.and_then(|key| self.queues.get(&key)).map_or(1, |queue| queue.messages.len())
     }
--- a/src/state/messages.rs
+++ b/src/state/messages.rs
@@ -1,4 +1,4 @@
-//! Messages held until their final answer.
+//! Messages that are held until their final answer.
 
 use super::CallNumber;
 use super::key_queues::KeyQueues;
@@ -13,13 +13,13 @@
     pub(crate) zone: ZoneId,
 }
 
-/// An attempt that ended, as the host tells it.
+/// An attempt that ended, as reported by the host.
 pub(crate) struct EndedAttempt {
     pub(crate) endpoint: EndpointId,
     pub(crate) elapsed: Duration,
     pub(crate) outcome: Outcome,
     pub(crate) run: RunState,
-    /// Nothing more is sent for the message.
+    /// Whether the message is closed: nothing more is sent for it.
     pub(crate) closed: bool,
 }
 
@@ -28,23 +28,23 @@
     pub(crate) class: ClassId,
     pub(crate) destination: DestinationId,
     pub(crate) key: Option<OrderingKey>,
-    /// The time by which a delivery earns the full priority weight.
+    /// Time until which a delivery earns the full priority weight.
     pub(crate) objective: Duration,
     pub(crate) deadline: Duration,
-    /// Bytes that it takes in a call of several messages.
+    /// Maximum size, in bytes, of its entry in a call of several messages.
     pub(crate) batch_entry_bytes: usize,
     pub(crate) over_quota: bool,
-    /// An earlier process of the relay accepted it.
+    /// Whether an earlier process of the relay accepted it.
     pub(crate) restored: bool,
     pub(crate) attempts: u8,
-    /// Attempts whose outcome doesn't prove that they took no effect.
+    /// Number of attempts that may have taken effect, including one in flight.
     pub(crate) possible_runs: u32,
     pub(crate) first_possible_run: Option<PossibleRun>,
     pub(crate) timeouts: u32,
     pub(crate) not_before: Duration,
     /// The call that carries it, while an attempt is in flight.
     pub(crate) call: Option<CallNumber>,
-    /// It has its final outcome, which may not have been taken yet.
+    /// Whether it has its final outcome, which may not be acknowledged yet.
     pub(crate) ended: bool,
 }
 
@@ -62,7 +62,8 @@
         }
     }
 
-    /// True for what a restart finds without an attempt: it is not rejected for others, and goes first.
+    /// Returns whether the message was restored after a restart and has no attempt. Such messages are sent first and
+    /// are not rejected to make room for others.
     pub(crate) fn is_untried_since_restart(&self) -> bool {
         self.restored && self.attempts == 0
     }
@@ -97,7 +98,7 @@
         }
     }
 
-    /// The priority weight that a delivery now still earns, as the settings define its decay.
+    /// Returns the priority weight that a delivery now earns, according to the decay of the settings.
     pub(crate) fn remaining_weight(&self, class: &MessageClass, decay: Decay, now: Duration) -> f64 {
         let lateness = now.saturating_sub(self.objective).as_secs_f64();
         let span = class.deadline.saturating_sub(class.latency_objective).as_secs_f64().max(0.001);
@@ -110,7 +111,8 @@
         class.priority_weight * share
     }
 
-    /// For how long endpoints still recognise a repeat, where the message may have run and has such a window.
+    /// Returns the remaining time in which endpoints recognise a repeat, if the message may have run and has a
+    /// deduplication window.
     pub(crate) fn deduplication_left(&self, class: &MessageClass, now: Duration) -> Option<Duration> {
         let window = class.idempotency.deduplication_window()?;
         let run = self.first_possible_run?;
@@ -118,7 +120,7 @@
     }
 }
 
-/// All messages held, with the key queues that they wait in.
+/// All messages held, with their key queues.
 #[derive(Default)]
 pub(crate) struct Messages {
     by_id: BTreeMap<MessageId, Message>,
@@ -142,7 +144,7 @@
         self.by_id.is_empty()
     }
 
-    /// Messages without a final outcome.
+    /// Returns the messages without a final outcome.
     pub(crate) fn open(&self) -> impl Iterator<Item = (MessageId, &Message)> {
         self.iter().filter(|(_, message)| !message.ended)
     }
@@ -163,7 +165,7 @@
         self.by_id.values().filter(waits).count() as u32
     }
 
-    /// Messages that may be sent now, by destination.
+    /// Returns the messages that may be sent now, by destination.
     pub(crate) fn waiting(&self, now: Duration) -> BTreeMap<DestinationId, Vec<MessageId>> {
         let mut waiting: BTreeMap<DestinationId, Vec<MessageId>> = BTreeMap::new();
         for (id, message) in self.open() {
@@ -174,7 +176,7 @@
         waiting
     }
 
-    /// Whether it is the message's turn in its key, and what it waits for if not.
+    /// Returns the message's position in the order of its key.
     pub(crate) fn ordering_state(&self, id: MessageId, message: &Message, now: Duration) -> OrderingState {
         self.key_queues.ordering_state(message.key, id, now)
     }
@@ -183,18 +185,19 @@
         self.ordering_state(id, message, now) == OrderingState::Next
     }
 
-    /// How many messages wait for this one's key, itself included.
+    /// Returns the number of messages in the queue of the message's key, including itself.
     pub(crate) fn queue_length(&self, message: &Message) -> usize {
         self.key_queues.length(message.key)
     }
 
-    /// An attempt of the message may still be running: until then no other message of its key is next.
-    pub(crate) fn hold_off_key(&mut self, id: MessageId, until: Duration) {
+    /// Adds a hold-off for the other messages of its key, as an attempt of the message may still be running.
+    pub(crate) fn add_key_hold_off(&mut self, id: MessageId, until: Duration) {
         let key = self.get(id).and_then(|message| message.key);
-        self.key_queues.hold_off(key, until, id);
+        self.key_queues.add_hold_off(key, until, id);
     }
 
-    /// The message has its final outcome. Until that was taken it keeps its place in its key queue (rule 5).
+    /// Records that the message has its final outcome. It stays in its key queue until the outcome is
+    /// acknowledged (rule 5).
     pub(crate) fn end(&mut self, id: MessageId, is_acknowledged: bool) {
         if let Some(message) = self.get_mut(id) {
             message.ended = true;
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Nothing more is sent for the message; it is forgotten once nothing of it is in flight.
+    /// Closes the message: nothing more is sent for it. It is removed once it has no attempt in flight.
     pub(crate) fn close(&mut self, id: MessageId) {
         let Some(message) = self.by_id.get_mut(&id) else { return };
         if message.call.is_some() {
@@ -215,7 +218,7 @@
         self.by_id.remove(&id);
     }
 
-    /// Until when an attempt of the message holds off the rest of its key; none if it does not.
+    /// Returns the end of the key's hold-off for an attempt of the message; none if there is none.
     pub(crate) fn key_hold_off_until(&self, id: MessageId, now: Duration) -> Option<Duration> {
         self.key_queues.hold_off_end(self.get(id)?.key, id, now)
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the decisions remember: endpoints, routes, messages, calls, and what was measured of them. Types here
-//! keep their own indexes and counters right. They hold no decision and no tuned value: those are passed in.
+//! The state of the decisions: endpoints, routes, messages, calls, and measurements of them. The types keep
+//! their indexes and counters consistent. They contain no decision and no tuned constant: these are passed in.
 
 mod backoff;
 mod calls;
@@ -31,7 +31,7 @@
 #[cfg(test)]
 mod tests;
 
-/// All that one relay remembers between steps.
+/// The state of one relay between steps.
 #[derive(Default)]
 pub(crate) struct State {
     pub(crate) settings: PolicySettings,
@@ -42,24 +42,24 @@
     pub(crate) messages: Messages,
     pub(crate) calls: Calls,
     pub(crate) tenant_budgets: Vec<TokenBucket>,
-    /// A value of 1 for each rejected attempt, of 0 for each other one.
+    /// A value of 1 for each rejected attempt, 0 for each other one.
     pub(crate) recent_rejections: SlidingWindow<REJECTION_WINDOW_SECONDS>,
-    /// A value of 1 for each call on an idle connection that was reset or not answered, of 0 for others.
+    /// A value of 1 for each call on an idle connection that was reset or got no response, 0 for each other one.
     pub(crate) idle_results: SlidingWindow<IDLE_RESULT_WINDOW_SECONDS>,
-    /// Calls in a row that found a connection, by kind of destination.
+    /// Number of consecutive calls that got a connection, by kind of destination.
     pub(crate) consecutive_connected_calls: BTreeMap<DestinationKindId, u32>,
-    /// Endpoints whose idle connections are to be reviewed in this step.
+    /// Endpoints whose idle connections are checked in this step.
     pub(crate) idle_review_queue: Vec<EndpointId>,
     pub(crate) poll_at: Option<Duration>,
     pub(crate) poll_failures: u32,
-    /// The list may be stale: nothing is sent until then, or until discovery answers.
+    /// If the list may be stale, time until which nothing is sent, unless discovery responds earlier.
     pub(crate) list_awaited_until: Option<Duration>,
     pub(crate) wake_at: Option<Duration>,
     pub(crate) is_handing_over: bool,
 }
 
 impl State {
-    /// The state at the start of a process; tenants have the burst of their quotas left.
+    /// Creates the state at the start of a process, with full quota bursts of all tenants.
     pub(crate) fn new(settings: PolicySettings, quota_burst_seconds: f64) -> State {
         let jitter = Jitter::new(settings.seed, settings.relay);
         let bursts = settings.tenant_quotas.iter().map(|quota| quota * quota_burst_seconds);
@@ -83,7 +83,7 @@
         self.settings.max_calls_in_flight - self.calls.len()
     }
 
-    /// Calls in flight on routes whose last call failed.
+    /// Returns the number of calls in flight on routes with consecutive failures.
     pub(crate) fn calls_on_failing_routes(&self) -> usize {
         let fails = |id| self.routes.get(id).is_some_and(|route| route.consecutive_failures > 0);
         self.calls.iter().filter(|(_, call)| fails(call.route)).count()
@@ -94,28 +94,28 @@
         self.routes.get_mut(id)
     }
 
-    /// The route that an endpoint of this kind belongs to.
+    /// Returns the id of the endpoint's route.
     pub(crate) fn route_id(&self, listed: &ListedEndpoint) -> RouteId {
         let kind = self.settings.destination_kinds.get(listed.kind.0 as usize);
         let is_independent = kind.is_some_and(|kind| kind.independent_endpoints);
         RouteId { destination: listed.destination, endpoint: is_independent.then_some(listed.endpoint) }
     }
 
-    /// An attempt ended: the message leaves its call. None if none was in flight.
+    /// Takes the message's call at the end of its attempt; none if no attempt was in flight.
     pub(crate) fn take_call(&mut self, message: MessageId) -> Option<CallNumber> {
         self.messages.get_mut(message)?.call.take()
     }
 
-    /// An attempt from before a restart; without an outcome that proves the contrary it may have run.
+    /// Records an attempt from before a restart, which delays other messages of its key if it may have run.
     pub(crate) fn record_earlier_attempt(&mut self, id: MessageId, run: PossibleRun, may_have_run: bool) {
         let Some(message) = self.messages.get_mut(id) else { return };
         message.record_earlier_attempt(run, may_have_run);
         if may_have_run {
-            self.messages.hold_off_key(id, self.now + self.settings.order_hold_off);
+            self.messages.add_key_hold_off(id, self.now + self.settings.order_hold_off);
         }
     }
 
-    /// Rule 6: a `Retry-After` binds the route, whichever answer tells it and however late it comes.
+    /// Rule 6: applies a `Retry-After` to the route, from any response and however late it arrives.
     pub(crate) fn extend_retry_after(&mut self, endpoint: EndpointId, span: Duration) {
         let until = self.now + span;
         if let Some(route) = self.route_of_mut(endpoint).filter(|_| span > Duration::ZERO) {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// An endpoint back from maintenance starts cold: its route comes back in slow start (rule 4).
+    /// Starts a slow start of the endpoint's route, as after maintenance the endpoint is cold (rule 4).
     pub(crate) fn start_slow_start(&mut self, endpoint: EndpointId) {
         let now = self.now;
         if let Some(route) = self.route_of_mut(endpoint) {
@@ -131,13 +131,13 @@
         }
     }
 
-    /// Discovery answered.
+    /// Records that discovery responded.
     pub(crate) fn list_received(&mut self) {
         self.list_awaited_until = None;
         self.poll_failures = 0;
     }
 
-    /// The call was sent as drafted. Each further message weighs so much against the slow start's budget.
+    /// Records the start of a call. Each further message uses `further_weight` of the slow start's budget.
     pub(crate) fn start_call(&mut self, draft: &CallDraft, on_idle_connection: bool, further_weight: f64) {
         let route = self.endpoints[draft.endpoint].route;
         if let Some(route) = self.routes.get_mut(route) {
@@ -148,7 +148,7 @@
         self.endpoints.record_call(draft.endpoint, draft.number, self.now);
     }
 
-    /// Notes how a call's connection fared: whether an idle one still worked, whether there was one at all.
+    /// Records the result of a call for its connection: whether it was refused, and whether an idle one failed.
     pub(crate) fn record_connection(&mut self, call: &CallResult, was_refused: bool, was_lost: bool) {
         if call.on_idle_connection {
             self.idle_results.add_flag(self.now, was_lost);
@@ -168,10 +168,10 @@
 
     pub(crate) fn has_work(&self) -> bool {
         let holds_messages = !self.messages.is_empty() || self.calls.len() > 0;
-        holds_messages || self.endpoints.any_unavailable() || self.poll_at.is_some()
+        holds_messages || self.endpoints.has_unavailable() || self.poll_at.is_some()
     }
 
-    /// Forgets an endpoint, and its route if that has no other.
+    /// Removes an endpoint, and its route if no other endpoint shares it.
     pub(crate) fn forget(&mut self, endpoint: EndpointId) {
         let route = self.endpoints[endpoint].route;
         if self.endpoints.is_last_of_route(route) {
--- a/src/state/routes.rs
+++ b/src/state/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: what is known of each path that is limited, fails and comes back as one.
+//! Routes: the state of each destination or endpoint that is rate limited, fails and recovers as a unit.
 
 use super::{CallNumber, SlidingWindow, TokenBucket};
 use crate::interface::*;
@@ -14,20 +14,20 @@
     pub(crate) endpoint: Option<EndpointId>,
 }
 
-/// The state of a circuit breaker. Its debug form stands in log lines.
+/// The state of a circuit breaker. Its debug format is written to log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Breaker {
-    /// Calls go out.
+    /// Calls are sent.
     #[default]
     Closed,
-    /// No call goes out before then.
+    /// No call is sent before this time.
     Open(Duration),
     /// The next call is a trial, or the trial is in flight.
     HalfOpen(Option<CallNumber>),
 }
 
 impl Breaker {
-    /// True if a call may go out now: any call if closed, else the trial.
+    /// Returns whether a call may be sent now: any call if the breaker is closed, otherwise only the trial.
     pub(crate) fn admits_call(self, now: Duration) -> bool {
         match self {
             Breaker::Closed => true,
@@ -42,24 +42,24 @@
     pub(crate) breaker: Breaker,
     pub(crate) consecutive_failures: u32,
     pub(crate) failing_since: Duration,
-    /// A failed call has ended, and is not just overdue.
+    /// Whether a failed call has ended, and is not just overdue.
     pub(crate) failure_confirmed: bool,
     pub(crate) retry_after_until: Duration,
     pub(crate) backoff_until: Duration,
     pub(crate) consecutive_rejections: u32,
     pub(crate) rejected_since: Duration,
-    /// Calls a second of all relays together.
+    /// Rate limit, in calls per second of all relays together.
     pub(crate) rate_limit: f64,
-    /// Answers told the rate limit, where none is listed.
+    /// Whether the rate limit was reported by a response, as none is listed.
     pub(crate) rate_limit_reported: bool,
     /// This relay's share of the rate limit.
     pub(crate) rate_share: f64,
-    /// When the share was last cut; zero if it never was.
+    /// Time of the last decrease of the share; zero if there was none.
     pub(crate) rate_share_decreased_at: Duration,
     pub(crate) rate_budget: TokenBucket,
     pub(crate) slow_start_since: Option<Duration>,
     pub(crate) slow_start_budget: TokenBucket,
-    /// A value of 1 for each failure, of 0 for each answer.
+    /// A value of 1 for each failure, 0 for each success.
     pub(crate) recent_results: SlidingWindow<RECENT_RESULT_WINDOW_SECONDS>,
     pub(crate) answered_calls: SlidingWindow<RATE_ESTIMATE_WINDOW_SECONDS>,
 }
@@ -79,22 +79,22 @@
         self.failure_confirmed = false;
     }
 
-    /// An attempt of a failed call has ended.
+    /// Records that an attempt of a failed call has ended.
     pub(crate) fn confirm_failure(&mut self) {
         self.failure_confirmed = self.consecutive_failures > 0;
     }
 
-    /// True if its rate limit was not told exactly.
+    /// Returns whether its rate limit is inexact.
     pub(crate) fn is_rate_inexact(&self, listed: ListedRate) -> bool {
         listed == ListedRate::Approximate || self.rate_limit_reported
     }
 
-    /// True if a `Retry-After` was told that reaches past the first of the rejections in a row.
+    /// Returns whether a `Retry-After` applies that ends after the first of the consecutive rejections.
     pub(crate) fn has_retry_after_since_rejected(&self) -> bool {
         self.retry_after_until >= self.rejected_since
     }
 
-    /// Counts a failure; while the breaker is closed the count begins anew after `window`.
+    /// Counts a failure. While the breaker is closed, the count restarts after `window`.
     pub(crate) fn record_failure(&mut self, now: Duration, window: Duration) {
         self.recent_results.add_flag(now, true);
         let window_is_over = self.is_closed() && now > self.failing_since + window;
@@ -121,7 +121,7 @@
         self.retry_after_until = self.retry_after_until.max(until);
     }
 
-    /// Slow start runs from `since`; one that runs already keeps its budget.
+    /// Sets the beginning of the slow start to `since`; a slow start in progress keeps its budget.
     pub(crate) fn start_slow_start(&mut self, since: Duration) {
         if self.slow_start_since.is_none() {
             self.slow_start_budget = TokenBucket::new(0.0, since);
@@ -129,14 +129,14 @@
         self.slow_start_since = Some(since);
     }
 
-    /// Slow start runs from now with an empty budget.
+    /// Starts the slow start from now, with an empty budget.
     pub(crate) fn restart_slow_start(&mut self, now: Duration) {
         self.slow_start_since = None;
         self.start_slow_start(now);
     }
 
-    /// True while a `Retry-After` or a slow start must not be forgotten.
-    pub(crate) fn binds(&self, now: Duration, slow_start_duration: Duration) -> bool {
+    /// Returns whether a `Retry-After` or a slow start is in effect, so that the route must be kept.
+    pub(crate) fn must_be_kept(&self, now: Duration, slow_start_duration: Duration) -> bool {
         now < self.retry_after_until || self.active_slow_start(now, slow_start_duration).is_some()
     }
 
@@ -144,7 +144,7 @@
         self.slow_start_since.filter(|since| now < *since + slow_start_duration)
     }
 
-    /// What must outlive the process; none if nothing must.
+    /// Returns the state for the next process; none if there is nothing to keep.
     pub(crate) fn snapshot(
         &self,
         id: RouteId,
@@ -156,25 +156,25 @@
             Breaker::Open(until) => Some(until),
             Breaker::HalfOpen(_) => Some(Duration::ZERO),
         };
-        let retry_after_binds = now < self.retry_after_until;
+        let has_retry_after = now < self.retry_after_until;
         let snapshot = RouteSnapshot {
             destination: id.destination,
             endpoint: id.endpoint,
-            retry_after_until: if retry_after_binds { self.retry_after_until } else { Duration::ZERO },
+            retry_after_until: if has_retry_after { self.retry_after_until } else { Duration::ZERO },
             open_until,
             slow_start_since: self.active_slow_start(now, slow_start_duration),
         };
-        let is_needed = retry_after_binds || open_until.is_some() || snapshot.slow_start_since.is_some();
+        let is_needed = has_retry_after || open_until.is_some() || snapshot.slow_start_since.is_some();
         is_needed.then_some(snapshot)
     }
 
-    /// Takes over what an earlier process left; its open breaker stands for `consecutive_failures`.
+    /// Restores the state of an earlier process; an open breaker counts as `consecutive_failures`.
     pub(crate) fn restore(&mut self, snapshot: &RouteSnapshot, consecutive_failures: u32, now: Duration) {
         self.extend_retry_after(snapshot.retry_after_until);
         if let Some(until) = snapshot.open_until
             && self.is_closed()
         {
-            // A trial that was in flight there is not in flight here: the next message is the trial.
+            // A trial of the earlier process is not in flight here: the next message is the trial.
             self.breaker = Breaker::Open(until);
             self.consecutive_failures = consecutive_failures;
             self.failing_since = now;
@@ -185,12 +185,12 @@
     }
 }
 
-/// All routes, with what is to be told of their changes.
+/// All routes, with their changes that are to be persisted or logged.
 #[derive(Default)]
 pub(crate) struct Routes {
     by_id: BTreeMap<RouteId, Route>,
-    /// Routes that may have something to be persisted: those changed since the last look, and those that had something
-    /// then. As time passes nothing is added, so no look walks over the others.
+    /// Routes that may have state to persist: those changed since the last check, and those that had some then. Time
+    /// alone adds none, so a check does not iterate over the others.
     persist_candidates: BTreeSet<RouteId>,
     persisted: Vec<RouteSnapshot>,
     log_lines: Vec<String>,
@@ -207,7 +207,7 @@
         Some(route)
     }
 
-    /// The route, which is `new` if it was not known.
+    /// Returns the route, after inserting `new` if it was unknown.
     pub(crate) fn get_or_insert(&mut self, id: RouteId, new: Route) -> &mut Route {
         self.persist_candidates.insert(id);
         self.by_id.entry(id).or_insert(new)
@@ -217,7 +217,7 @@
         self.by_id.remove(&id);
     }
 
-    /// An attempt of a failed call has ended.
+    /// Records that an attempt of a failed call has ended.
     pub(crate) fn confirm_failure(&mut self, id: RouteId) {
         if let Some(route) = self.get_mut(id) {
             route.confirm_failure();
@@ -233,7 +233,7 @@
         }
     }
 
-    /// If the call is the trial of the route, the breaker goes on to `next`.
+    /// Sets the breaker to `next` if the call is the trial of the route.
     pub(crate) fn end_trial(&mut self, id: RouteId, call: CallNumber, next: Breaker) {
         if self.get(id).is_some_and(|route| route.is_trial(call)) {
             self.set_breaker(id, next);
@@ -244,7 +244,7 @@
         std::mem::take(&mut self.log_lines)
     }
 
-    /// Takes over what an earlier process left. Routes that are not known yet are passed over.
+    /// Restores the state of an earlier process. Unknown routes are ignored.
     pub(crate) fn restore(&mut self, snapshots: &[RouteSnapshot], consecutive_failures: u32, now: Duration) {
         for snapshot in snapshots {
             let id = RouteId { destination: snapshot.destination, endpoint: snapshot.endpoint };
@@ -254,13 +254,13 @@
         }
     }
 
-    /// How many routes the next look for changed snapshots walks over.
+    /// Returns the number of routes that the next check for changed snapshots iterates over.
     #[cfg(test)]
     pub(crate) fn persist_candidate_count(&self) -> usize {
         self.persist_candidates.len()
     }
 
-    /// What must outlive the process, if that changed since it was last asked for.
+    /// Returns the state for the next process, if it changed since the last check.
     pub(crate) fn changed_snapshots(
         &mut self,
         now: Duration,
--- a/src/state/sliding_window.rs
+++ b/src/state/sliding_window.rs
@@ -1,15 +1,15 @@
-//! What was measured over the last seconds: fixed buckets of one second, reused in a ring.
+//! Measurements of the last seconds, in a ring of buckets of one second each.
 
 use std::time::Duration;
 
 #[derive(Clone, Copy, Default)]
 struct Bucket {
-    /// The second that the bucket holds, counted from 1; 0 if it holds none.
+    /// The second of the bucket, counted from 1; 0 if the bucket is unused.
     second: u64,
     totals: Totals,
 }
 
-/// Count, sum and peak of the values measured.
+/// Count, sum and peak of the measured values.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Totals {
     pub(crate) count: f64,
@@ -17,7 +17,7 @@
     pub(crate) peak: f64,
 }
 
-/// The values measured in the last `SECONDS` seconds, the running one included.
+/// The values measured in the last `SECONDS` seconds, including the current one.
 #[derive(Default)]
 pub(crate) struct SlidingWindow<const SECONDS: usize> {
     buckets: Vec<Bucket>,
@@ -36,7 +36,7 @@
         bucket.totals.peak = bucket.totals.peak.max(value);
     }
 
-    /// Counts an event, and whether it was of the kind that is looked for.
+    /// Adds 1 if `flag` is set, otherwise 0, so that the sum counts the flags.
     pub(crate) fn add_flag(&mut self, now: Duration, flag: bool) {
         self.add(now, f64::from(u8::from(flag)));
     }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the state's own transitions; what is decided with them is tested by the scenarios.
+//! Tests of the state's own transitions; the decisions based on them are tested by the scenarios.
 
 use super::key_queues::KeyQueues;
 use super::*;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_sliding_window_forgets_what_is_older_than_its_seconds() {
+fn sliding_window_drops_values_outside_its_window() {
     let mut window: SlidingWindow<4> = SlidingWindow::default();
     window.add(seconds(0.5), 1.0);
     window.add(seconds(0.9), 3.0);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_sliding_window_reuses_the_bucket_of_an_old_second() {
+fn sliding_window_reuses_the_bucket_of_an_old_second() {
     let mut window: SlidingWindow<4> = SlidingWindow::default();
     window.add_flag(seconds(1.0), true);
     window.add_flag(seconds(5.0), false);
@@ -27,25 +27,26 @@
 }
 
 #[test]
-fn a_token_bucket_fills_up_to_its_burst_and_pays_back_an_overdraft() {
+fn token_bucket_refills_a_negative_balance_up_to_its_burst() {
     let mut bucket = TokenBucket::new(-1.0, seconds(0.0));
     bucket.refill(seconds(1.0), 0.5, 2.0);
     assert_eq!(bucket.tokens, -0.5);
     bucket.refill(seconds(1.0), 0.5, 2.0);
-    assert_eq!(bucket.tokens, -0.5, "no time went by");
+    assert_eq!(bucket.tokens, -0.5, "no time has passed");
     bucket.refill(seconds(100.0), 0.5, 2.0);
     assert_eq!(bucket.tokens, 2.0);
 }
 
 #[test]
-fn a_backoff_grows_up_to_its_maximum() {
+fn backoff_grows_up_to_its_maximum() {
     let backoff = Backoff { first: seconds(0.1), growth: 2.0, max: seconds(0.5) };
-    let spans: Vec<Duration> = [0, 1, 2, 3, u32::MAX].into_iter().map(|steps| backoff.after(steps)).collect();
-    assert_eq!(spans, [0.1, 0.2, 0.4, 0.5, 0.5].map(seconds));
+    let delays: Vec<Duration> =
+        [0, 1, 2, 3, u32::MAX].into_iter().map(|steps| backoff.after(steps)).collect();
+    assert_eq!(delays, [0.1, 0.2, 0.4, 0.5, 0.5].map(seconds));
 }
 
 #[test]
-fn jitter_is_the_same_for_the_same_seed_and_relay_and_shares_its_counter() {
+fn jitter_depends_on_seed_and_relay_and_shares_its_counter() {
     let draws = |seed, relay| {
         let mut jitter = Jitter::new(seed, RelayId(relay));
         [jitter.draw(1), jitter.draw(1), jitter.draw(2)]
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_breaker_admits_calls_while_closed_and_one_trial_once_open_long_enough() {
+fn breaker_admits_calls_while_closed_and_one_trial_after_its_open_time() {
     let now = seconds(10.0);
     assert!(Breaker::Closed.admits_call(now));
     assert!(!Breaker::Open(seconds(10.1)).admits_call(now));
@@ -71,24 +72,24 @@
 }
 
 #[test]
-fn failures_in_a_row_count_within_the_window_and_end_with_a_success() {
+fn consecutive_failures_count_within_the_window_until_a_success() {
     let window = seconds(20.0);
     let mut route = Route::default();
     route.record_failure(seconds(1.0), window);
     route.record_failure(seconds(21.0), window);
     assert_eq!((route.consecutive_failures, route.failing_since), (2, seconds(1.0)));
     route.record_failure(seconds(21.1), window);
-    assert_eq!((route.consecutive_failures, route.failing_since), (1, seconds(21.1)), "a new count");
+    assert_eq!((route.consecutive_failures, route.failing_since), (1, seconds(21.1)), "the count restarts");
     route.confirm_failure();
     assert!(route.failure_confirmed);
     route.record_success();
     assert_eq!((route.consecutive_failures, route.failure_confirmed), (0, false));
     route.confirm_failure();
-    assert!(!route.failure_confirmed, "nothing has failed since the success");
+    assert!(!route.failure_confirmed, "there was no failure since the success");
 }
 
 #[test]
-fn an_open_breaker_counts_failures_beyond_the_window() {
+fn open_breaker_counts_failures_beyond_the_window() {
     let mut route = Route { breaker: Breaker::Open(seconds(2.0)), ..Route::default() };
     route.record_failure(seconds(1.0), seconds(20.0));
     route.record_failure(seconds(60.0), seconds(20.0));
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn rejections_in_a_row_are_dated_from_the_first() {
+fn consecutive_rejections_start_at_the_first() {
     let mut route = Route::default();
     route.record_rejection(seconds(3.0));
     route.record_rejection(seconds(4.0));
@@ -105,11 +106,11 @@
     route.extend_retry_after(seconds(5.0));
     assert!(route.has_retry_after_since_rejected());
     route.extend_retry_after(seconds(4.5));
-    assert_eq!(route.retry_after_until, seconds(5.0), "the longer one binds");
+    assert_eq!(route.retry_after_until, seconds(5.0), "the later end applies");
 }
 
 #[test]
-fn a_slow_start_that_runs_keeps_its_budget_unless_it_is_restarted() {
+fn slow_start_in_progress_keeps_its_budget_unless_restarted() {
     let mut route = Route::default();
     route.start_slow_start(seconds(1.0));
     route.slow_start_budget.refill(seconds(2.0), 3.0, 10.0);
@@ -120,13 +121,17 @@
 }
 
 #[test]
-fn a_route_is_kept_while_a_retry_after_or_a_slow_start_binds() {
+fn route_is_kept_during_a_retry_after_or_a_slow_start() {
     let mut route = Route::default();
-    assert!(!route.binds(seconds(1.0), seconds(10.0)));
+    assert!(!route.must_be_kept(seconds(1.0), seconds(10.0)));
     route.extend_retry_after(seconds(2.0));
-    assert!(route.binds(seconds(1.0), seconds(10.0)) && !route.binds(seconds(2.0), seconds(10.0)));
+    assert!(
+        route.must_be_kept(seconds(1.0), seconds(10.0)) && !route.must_be_kept(seconds(2.0), seconds(10.0))
+    );
     route.start_slow_start(seconds(2.0));
-    assert!(route.binds(seconds(11.9), seconds(10.0)) && !route.binds(seconds(12.0), seconds(10.0)));
+    assert!(
+        route.must_be_kept(seconds(11.9), seconds(10.0)) && !route.must_be_kept(seconds(12.0), seconds(10.0))
+    );
 }
 
 fn route_id() -> RouteId {
@@ -134,7 +139,7 @@
 }
 
 #[test]
-fn a_change_of_the_breaker_is_logged_and_a_longer_opening_is_not() {
+fn breaker_logs_state_changes_but_not_extended_openings() {
     let mut routes = Routes::default();
     routes.get_or_insert(route_id(), Route::default()).consecutive_failures = 5;
     routes.set_breaker(route_id(), Breaker::Open(seconds(1.8)));
@@ -154,11 +159,11 @@
 }
 
 #[test]
-fn what_a_route_leaves_is_told_when_it_changes_and_restored() {
+fn route_snapshot_is_reported_on_change_and_restored() {
     let (now, duration) = (seconds(5.0), seconds(10.0));
     let mut routes = Routes::default();
     routes.get_or_insert(route_id(), Route::default());
-    assert_eq!(routes.changed_snapshots(now, duration), None, "nothing must outlive the process");
+    assert_eq!(routes.changed_snapshots(now, duration), None, "there is nothing to keep");
     let route = routes.get_mut(route_id()).expect("inserted above");
     route.extend_retry_after(seconds(7.0));
     route.start_slow_start(seconds(4.0));
@@ -171,11 +176,11 @@
         slow_start_since: Some(seconds(4.0)),
     };
     assert_eq!(routes.changed_snapshots(now, duration), Some(&[snapshot][..]));
-    assert_eq!(routes.changed_snapshots(now, duration), None, "it did not change");
+    assert_eq!(routes.changed_snapshots(now, duration), None, "there is no change");
 
     let mut successor = Routes::default();
     successor.restore(&[snapshot], 5, now);
-    assert!(successor.get(route_id()).is_none(), "routes not on the list yet are passed over");
+    assert!(successor.get(route_id()).is_none(), "routes that are not listed yet are ignored");
     successor.get_or_insert(route_id(), Route::default());
     successor.restore(&[snapshot], 5, now);
     let route = &successor[route_id()];
@@ -184,10 +189,10 @@
 }
 
 #[test]
-fn a_concurrency_limit_grows_while_it_is_used_up_and_is_cut_down_to_one() {
+fn concurrency_limit_grows_while_fully_used_and_decreases_down_to_one() {
     let mut endpoint = Endpoint { concurrency_limit: 4.0, calls_in_flight: 1, ..Endpoint::default() };
     endpoint.record_success(seconds(1.0), seconds(0.1), 24.0);
-    assert_eq!(endpoint.concurrency_limit, 4.0, "not used up");
+    assert_eq!(endpoint.concurrency_limit, 4.0, "not fully used");
     endpoint.calls_in_flight = 3;
     endpoint.record_success(seconds(1.0), seconds(0.1), 24.0);
     assert_eq!(endpoint.concurrency_limit, 4.25);
@@ -200,19 +205,19 @@
 }
 
 #[test]
-fn an_endpoint_is_held_off_after_failures_in_a_row() {
+fn endpoint_is_skipped_after_consecutive_failures() {
     let mut endpoint = Endpoint { concurrency_limit: 4.0, ..Endpoint::default() };
     endpoint.record_failure(0.6, 2, seconds(3.0));
     assert_eq!(endpoint.skip_until, Duration::ZERO);
     endpoint.record_success(seconds(1.0), seconds(0.1), 24.0);
     endpoint.record_failure(0.6, 2, seconds(4.0));
-    assert_eq!(endpoint.skip_until, Duration::ZERO, "an answer came between");
+    assert_eq!(endpoint.skip_until, Duration::ZERO, "a success came between");
     endpoint.record_failure(0.6, 2, seconds(5.0));
     assert_eq!(endpoint.skip_until, seconds(5.0));
 }
 
 #[test]
-fn a_connection_is_idle_once_nothing_is_in_flight_for_a_while() {
+fn connection_is_idle_after_a_time_without_calls() {
     let mut endpoint = Endpoint::default();
     let is_idle = |endpoint: &Endpoint, now| endpoint.has_idle_connection(seconds(now), seconds(1.0));
     assert!(!is_idle(&endpoint, 9.0), "no connection was used");
@@ -235,7 +240,7 @@
 }
 
 #[test]
-fn an_endpoint_is_unused_once_its_grace_is_over_and_nothing_is_in_flight() {
+fn endpoint_is_unused_after_its_grace_without_calls_in_flight() {
     let mut endpoints = Endpoints::default();
     let mut update = |endpoint, status, now| {
         let listed = listed(endpoint, status);
@@ -247,13 +252,13 @@
     update(1, EndpointStatus::Removed, 2.0);
     let grace = seconds(1.0);
     assert_eq!(endpoints.unused(seconds(1.9), grace), []);
-    assert_eq!(endpoints.unused(seconds(2.0), grace), [EndpointId(1)], "dated from the drain");
+    assert_eq!(endpoints.unused(seconds(2.0), grace), [EndpointId(1)], "the grace starts with the drain");
     endpoints.record_call(EndpointId(1), 7, seconds(1.0));
     assert_eq!(endpoints.unused(seconds(2.0), grace), []);
     assert_eq!(endpoints.last_call(DestinationId(4)), Some(7));
     assert!(!endpoints.is_last_of_route(route_id()));
     endpoints.remove(EndpointId(1));
-    assert!(endpoints.is_last_of_route(route_id()) && !endpoints.any_unavailable());
+    assert!(endpoints.is_last_of_route(route_id()) && !endpoints.has_unavailable());
     endpoints.mark_all_unavailable(seconds(5.0));
     assert_eq!(endpoints.unused(seconds(6.0), grace), [EndpointId(2)]);
     endpoints.remove(EndpointId(2));
@@ -262,7 +267,7 @@
 }
 
 #[test]
-fn a_key_queue_lets_the_first_message_go_and_holds_the_others_off() {
+fn key_queue_allows_its_first_message_and_applies_the_hold_off_to_others() {
     let (first, second, key) = (MessageId(1), MessageId(2), Some(OrderingKey(9)));
     let mut queues = KeyQueues::default();
     assert_eq!(
@@ -275,11 +280,11 @@
     assert_eq!((queues.length(key), queues.length(None)), (2, 1));
     assert_eq!(queues.ordering_state(key, first, seconds(0.0)), OrderingState::Next);
     assert_eq!(queues.ordering_state(key, second, seconds(0.0)), OrderingState::QueuedBehind(first));
-    queues.hold_off(key, seconds(1.0), first);
+    queues.add_hold_off(key, seconds(1.0), first);
     assert_eq!(
         queues.ordering_state(key, first, seconds(0.5)),
         OrderingState::Next,
-        "a retry of the one that holds the others off"
+        "a retry of the message that caused the hold-off"
     );
     queues.remove(key, first);
     queues.discard_unused(seconds(0.5));
@@ -287,31 +292,31 @@
     assert_eq!(queues.ordering_state(key, second, seconds(1.0)), OrderingState::Next);
     queues.remove(key, second);
     queues.discard_unused(seconds(1.0));
-    assert_eq!(queues.length(key), 1, "the queue is forgotten");
+    assert_eq!(queues.length(key), 1, "the queue was removed");
 }
 
-// An attempt of a message that is over may still be running while the next one, taken up by a restart, is tried: the rest
-// behind the second one must not end the first one's.
+// An attempt of a closed message may still be running while the next message, restored by a restart, is sent. A hold-off of
+// the second message must not end the hold-off of the first.
 #[test]
-fn a_rest_behind_one_message_outlives_the_rest_behind_another() {
+fn hold_offs_of_different_messages_are_independent() {
     let (first, second, key) = (MessageId(1), MessageId(2), Some(OrderingKey(9)));
     let mut queues = KeyQueues::default();
     queues.push(OrderingKey(9), second);
-    queues.hold_off(key, seconds(2.0), first);
-    queues.hold_off(key, seconds(1.0), second);
-    queues.hold_off(key, seconds(1.5), first);
+    queues.add_hold_off(key, seconds(2.0), first);
+    queues.add_hold_off(key, seconds(1.0), second);
+    queues.add_hold_off(key, seconds(1.5), first);
     assert_eq!(queues.ordering_state(key, second, seconds(1.2)), OrderingState::HeldOff(first, seconds(2.0)));
     assert_eq!(queues.ordering_state(key, second, seconds(2.0)), OrderingState::Next);
 }
 
-// Each kind of answer beside each way in which a call ends.
+// Checks each kind of response with each end of a call.
 #[test]
-fn the_state_of_a_run_follows_from_the_end_of_its_call_first() {
+fn run_state_depends_on_the_end_of_the_call_first() {
     let rejected = Outcome::Rejected { retry_after: Duration::ZERO };
     let answers = [Outcome::Delivered, Outcome::Error, rejected, Outcome::ConnectionLimit, Outcome::NotSent];
-    let whole = answers.map(|outcome| RunState::from_call(outcome, CallEnd::Answered));
+    let complete = answers.map(|outcome| RunState::from_call(outcome, CallEnd::Answered));
     let (never, may_have) = (RunState::NeverRan, RunState::MayHaveRun);
-    assert_eq!(whole, [RunState::Ran, may_have, never, never, never]);
+    assert_eq!(complete, [RunState::Ran, may_have, never, never, never]);
     assert_eq!(
         answers.map(|outcome| RunState::from_call(outcome, CallEnd::Interrupted)),
         [RunState::MayBeRunning; 5]
@@ -334,7 +339,7 @@
     }
 }
 
-/// Routes of so many destinations, none with anything to persist.
+/// Creates routes of `count` destinations without state to persist.
 fn idle_routes(count: u32) -> Routes {
     let mut routes = Routes::default();
     for destination in 0..count {
@@ -344,32 +349,32 @@
     routes
 }
 
-// What must outlive the process is told whenever it changes, also as time ends it, and not again without a change.
+// Snapshots are reported whenever they change, also when they expire, and not again without a change.
 #[test]
-fn snapshots_are_told_as_they_change() {
+fn snapshots_are_reported_on_change() {
     let mut routes = idle_routes(5);
     let id = |destination| RouteId { destination: DestinationId(destination), endpoint: None };
-    let told = |routes: &mut Routes, at: f64| {
+    let reported = |routes: &mut Routes, at: f64| {
         let changed = routes.changed_snapshots(seconds(at), seconds(2.0));
         changed.map(|snapshots| snapshots.iter().map(|snapshot| snapshot.destination.0).collect::<Vec<_>>())
     };
-    assert_eq!(told(&mut routes, 0.0), None);
+    assert_eq!(reported(&mut routes, 0.0), None);
     routes.set_breaker(id(3), Breaker::Open(seconds(1.0)));
     routes.get_mut(id(1)).expect("known").extend_retry_after(seconds(4.0));
-    assert_eq!(told(&mut routes, 0.5), Some(vec![1, 3]));
-    assert_eq!(told(&mut routes, 1.0), None);
+    assert_eq!(reported(&mut routes, 0.5), Some(vec![1, 3]));
+    assert_eq!(reported(&mut routes, 1.0), None);
     routes.set_breaker(id(3), Breaker::Closed);
     routes.get_mut(id(3)).expect("known").start_slow_start(seconds(1.5));
-    assert_eq!(told(&mut routes, 1.5), Some(vec![1, 3]));
-    assert_eq!(told(&mut routes, 3.6), Some(vec![1]), "its slow start is over");
+    assert_eq!(reported(&mut routes, 1.5), Some(vec![1, 3]));
+    assert_eq!(reported(&mut routes, 3.6), Some(vec![1]), "its slow start is over");
     routes.remove(id(1));
-    assert_eq!(told(&mut routes, 3.7), Some(vec![]));
-    assert_eq!(told(&mut routes, 9.0), None);
+    assert_eq!(reported(&mut routes, 3.7), Some(vec![]));
+    assert_eq!(reported(&mut routes, 9.0), None);
 }
 
-// A look at what must outlive the process is taken in each step: it must not walk over routes that nothing happened to.
+// Each step checks for changed snapshots: the check must not iterate over unchanged routes.
 #[test]
-fn a_look_for_changed_snapshots_walks_over_no_idle_route() {
+fn check_for_changed_snapshots_skips_unchanged_routes() {
     let mut routes = idle_routes(50_000);
     routes.changed_snapshots(seconds(0.0), seconds(2.0));
     assert_eq!(routes.persist_candidate_count(), 0);
@@ -392,7 +397,7 @@
 }
 
 #[test]
-fn an_attempt_may_have_run_until_its_outcome_proves_the_contrary() {
+fn attempt_may_have_run_unless_its_outcome_proves_the_contrary() {
     let mut message = Message::default();
     let run = PossibleRun { at: seconds(1.0), zone: ZoneId(2) };
     message.record_sent(1, run);
@@ -407,7 +412,7 @@
 }
 
 #[test]
-fn the_weight_of_a_message_falls_after_its_objective() {
+fn message_weight_decays_after_its_latency_objective() {
     let class = class(Idempotency::Idempotent);
     let message = Message::new(&submission(1), &class);
     assert_eq!((message.objective, message.key), (seconds(2.0), None));
@@ -417,7 +422,7 @@
 }
 
 #[test]
-fn a_repeat_is_recognised_within_the_window_of_the_first_possible_run() {
+fn deduplication_window_starts_at_the_first_possible_run() {
     let scope = DeduplicationScope::AllEndpoints;
     let class = class(Idempotency::WithKey { window: seconds(5.0), scope });
     let mut message = Message::new(&submission(1), &class);
@@ -428,7 +433,7 @@
 }
 
 #[test]
-fn a_message_that_ended_keeps_its_place_until_its_end_was_taken_and_its_attempt_is_over() {
+fn ended_message_stays_queued_until_acknowledged_and_its_attempt_has_ended() {
     let class = MessageClass { in_order: true, ..class(Idempotency::Idempotent) };
     let (first, second) = (MessageId(1), MessageId(2));
     let mut messages = Messages::default();
@@ -438,7 +443,7 @@
     assert_eq!(messages.waiting(seconds(0.0))[&DestinationId(4)], [first]);
     messages.end(first, false);
     assert!(messages.waiting(seconds(0.0)).is_empty());
-    assert!(!is_next(&messages, second), "the end was not taken");
+    assert!(!is_next(&messages, second), "the end is not acknowledged");
     messages.get_mut(first).expect("inserted above").call = Some(3);
     messages.close(first);
     assert!(!is_next(&messages, second), "an attempt is in flight");
@@ -450,7 +455,7 @@
 }
 
 #[test]
-fn a_call_counts_its_first_result_and_is_over_with_its_last_attempt() {
+fn call_counts_its_first_result_and_is_over_with_its_last_attempt() {
     let mut calls = Calls::default();
     let mut draft = CallDraft::new(5, EndpointId(1), 2);
     draft.add(seconds(4.0), seconds(1.0), 10);
@@ -473,7 +478,7 @@
 }
 
 #[test]
-fn an_overdue_call_counts_once_and_stays_in_flight() {
+fn overdue_call_counts_once_and_stays_in_flight() {
     let mut calls = Calls::default();
     let mut draft = CallDraft::new(5, EndpointId(1), 2);
     draft.add(seconds(4.0), seconds(1.0), 10);
@@ -486,7 +491,7 @@
 }
 
 #[test]
-fn the_share_borne_in_a_slow_start_grows_in_a_straight_line() {
+fn slow_start_share_grows_linearly() {
     let settings = PolicySettings {
         slow_start_share: 0.25,
         slow_start_duration: seconds(10.0),
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Tokens come in at a rate, up to a burst; an overdraft is paid back first.
+/// Tokens are added at a rate, up to a burst; a negative balance is refilled first.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct TokenBucket {
     pub(crate) tokens: f64,
@@ -14,7 +14,7 @@
         TokenBucket { tokens, refilled_at: now }
     }
 
-    /// Adds what came in since the last refill at `rate` tokens a second, up to `burst`.
+    /// Adds the tokens since the last refill at `rate` tokens per second, up to `burst`.
     pub(crate) fn refill(&mut self, now: Duration, rate: f64, burst: f64) {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + rate * elapsed).min(burst);
--- a/tests/turn.rs
+++ b/tests/ordering.rs
@@ -1,4 +1,4 @@
-//! The turn of a key is asked again right before the first byte of an attempt.
+//! The order of a key is checked again right before the first byte of an attempt.
 
 use mountshift::interface::*;
 use mountshift::policy::DeliveryPolicy;
@@ -8,11 +8,11 @@
 const ENDPOINT: EndpointId = EndpointId(7);
 const HOLD_OFF: Duration = Duration::from_millis(300);
 
-/// A host that only counts what is sent.
+/// A host that records only the sent messages.
 #[derive(Default)]
-struct Sends(Vec<MessageId>);
+struct SendRecorder(Vec<MessageId>);
 
-impl Actions for Sends {
+impl Actions for SendRecorder {
     fn send(&mut self, message: MessageId, _endpoint: EndpointId, _limit: Duration) {
         self.0.push(message);
     }
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn an_attempt_begins_only_in_its_turn() {
-    let (mut policy, mut sends) = (policy(), Sends::default());
+fn attempt_is_sent_only_in_the_order_of_its_key() {
+    let (mut policy, mut sends) = (policy(), SendRecorder::default());
     let (first, second) = (MessageId(1), MessageId(2));
     let mut now = Duration::from_secs(1);
     policy.step(now, [listed(), submitted(1), submitted(2)], &mut sends);
@@ -92,7 +92,7 @@
     assert_eq!(policy.check_before_send(second, ENDPOINT, now), Err(SendError::OutOfOrder));
     assert_eq!(policy.ordering_state(second, now), Some(OrderingState::QueuedBehind(first)));
     now += Duration::from_millis(100);
-    // Delivered, as the first line of the answer says, and given up behind that.
+    // The first line of the response says that the message is delivered; then the relay stops reading.
     let ended = Input::AttemptEnded {
         message: first,
         endpoint: ENDPOINT,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,16 +1,22 @@
-//! Plays the scenarios in `tests/scenarios`, small texts in a notation of our own:
+//! Runs the scenarios in `tests/scenarios`, small text files with a line for each of:
 //!
-//! - `facts name=value ..` (`untold`: no rates are listed), `lane name=value ..`, `kind name=value ..`: the
-//!   settings, the message classes and the kinds of destinations; spans in seconds
-//! - `at T: event; event ..`: one step; events: `list A dst=1 ..`, `whole A dst=1 ..`, `msg 1 lane=0 ..`
-//!   (`restored`: from before a restart), `end 1 A delivered` (`over`: nothing more is sent; `running`: the answer broke off), `gone 1` (withdrawn, or its final outcome was
-//!   taken), `nolist` (polling failed), `leg 1 ago=2 zone=0 [refused]` and `ended 1` (an attempt and a final
-//!   outcome from before a restart), `wait A for=1` (a `Retry-After` beside outcomes), `limit A rate=2`
-//!   (a rate limit beside outcomes); with `facts notices` final outcomes count only once taken
-//! - `until T`: a step each 20 ms
-//! - `=> a; b`: exactly these decisions in that span; `~> a`: this one among them; `!> a`: none like it;
-//!   `#> N a`: N that begin so. Decisions: `send 1 A`, `push 1` (rejected), `fail 1`, `recall 1` (cancelled),
-//!   `close A`, `forget A` with `facts forgets`, `watch` (polls), `log ..`
+//! - `facts name=value ..`, `lane name=value ..`, `kind name=value ..`: the settings (`untold`: no rates are
+//!   listed), the message classes and the kinds of destinations; durations in seconds
+//! - `at T: event; event ..`: a step at time T with these inputs:
+//!   - `list A dst=1 ..` (a list update), `whole A dst=1 ..` (a full list), `nolist` (polling failed),
+//!     `oldlist` (the list may be stale), `listed` (discovery responded)
+//!   - `msg 1 lane=0 ..` (a submission; `restored`: from before a restart)
+//!   - `end 1 A delivered` (end of an attempt; `over`: not sent, message closed; `running`: may still run)
+//!   - `gone 1` (closed: withdrawn, or its final outcome was acknowledged)
+//!   - `leg 1 ago=2 zone=0 [refused]` and `ended 1` (an attempt and a final outcome from before a restart)
+//!   - `wait A for=1` (a `Retry-After`) and `limit A rate=2` (a rate limit), separate from outcomes
+//! - `until T`: a step every 20 ms until T
+//! - `=> a; b`: the decisions of the last `at` or `until` line are exactly these; `~> a`: at least one begins
+//!   with `a`; `!> a`: none begins with `a`; `#> N a`: N begin with `a`
+//!
+//! Decisions: `send 1 A`, `push 1` (rejected), `fail 1`, `recall 1` (cancelled), `close A`, `forget A` (only
+//! with `facts forgets`), `watch` (polls), `log ..`. With `facts notices`, a final outcome closes its message
+//! only once it is acknowledged.
 
 use mountshift::interface::*;
 use mountshift::policy::DeliveryPolicy;
@@ -18,16 +24,16 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// The time between two steps in `until`.
+/// Time between two steps in `until`.
 const STEP: Duration = Duration::from_millis(20);
 
-/// Writes down what was decided, in the words of the notation.
+/// Records the decisions in the notation of the scenarios.
 #[derive(Default)]
 struct Recorder {
     decisions: Vec<String>,
-    /// Final outcomes count only once the host says that they were taken.
-    outcomes_must_be_taken: bool,
-    shows_forgotten: bool,
+    /// Whether final outcomes count only after an acknowledgement by the host.
+    requires_acknowledgement: bool,
+    records_forgotten: bool,
 }
 
 fn name(endpoint: EndpointId) -> char {
@@ -40,11 +46,11 @@
     }
     fn reject(&mut self, message: MessageId, _retry_after: Duration) -> bool {
         self.decisions.push(format!("push {}", message.0));
-        !self.outcomes_must_be_taken
+        !self.requires_acknowledgement
     }
     fn fail(&mut self, message: MessageId) -> bool {
         self.decisions.push(format!("fail {}", message.0));
-        !self.outcomes_must_be_taken
+        !self.requires_acknowledgement
     }
     fn cancel(&mut self, message: MessageId, _attempt: AttemptNumber) {
         self.decisions.push(format!("recall {}", message.0));
@@ -53,7 +59,7 @@
         self.decisions.push(format!("close {}", name(endpoint)));
     }
     fn forget_endpoint(&mut self, endpoint: EndpointId) {
-        if self.shows_forgotten {
+        if self.records_forgotten {
             self.decisions.push(format!("forget {}", name(endpoint)));
         }
     }
@@ -66,7 +72,7 @@
     }
 }
 
-/// A line or an event of the notation: plain words, and values by name.
+/// The words of a line or an event: plain words, and values by name.
 struct Words<'a> {
     plain: Vec<&'a str>,
     values: BTreeMap<&'a str, &'a str>,
@@ -82,12 +88,12 @@
     fn has(&self, word: &str) -> bool {
         self.plain.contains(&word)
     }
-    fn number(&self, name: &str, absent: f64) -> f64 {
+    fn number(&self, name: &str, default: f64) -> f64 {
         let parse = |value: &&str| value.parse().unwrap_or_else(|_| panic!("{name}={value}"));
-        self.values.get(name).map_or(absent, parse)
+        self.values.get(name).map_or(default, parse)
     }
-    fn span(&self, name: &str, absent: f64) -> Duration {
-        Duration::from_secs_f64(self.number(name, absent))
+    fn span(&self, name: &str, default: f64) -> Duration {
+        Duration::from_secs_f64(self.number(name, default))
     }
     fn endpoint(&self, position: usize) -> EndpointId {
         EndpointId(u64::from(self.plain[position].as_bytes()[0]))
@@ -99,13 +105,13 @@
         ZoneId(self.number("zone", 0.0) as u16)
     }
     fn message(&self) -> MessageId {
-        MessageId(self.plain[1].parse().expect("a message's number"))
+        MessageId(self.plain[1].parse().expect("the number of a message"))
     }
 }
 
 fn message_class(words: &Words) -> MessageClass {
-    let is_by_zone = words.has("zone");
-    let scope = if is_by_zone { DeduplicationScope::SameZone } else { DeduplicationScope::AllEndpoints };
+    let is_zone_scoped = words.has("zone");
+    let scope = if is_zone_scoped { DeduplicationScope::SameZone } else { DeduplicationScope::AllEndpoints };
     MessageClass {
         latency_objective: words.span("target", 2.0),
         deadline: words.span("deadline", 20.0),
@@ -198,7 +204,7 @@
         "reset" => Outcome::Reset,
         "cancelled" => Outcome::Cancelled,
         "over" => Outcome::NotSent,
-        other => panic!("no outcome {other}"),
+        other => panic!("unknown outcome {other}"),
     };
     Input::AttemptEnded {
         message: words.message(),
@@ -219,7 +225,7 @@
     }
 }
 
-/// The inputs that an event of the notation stands for.
+/// Returns the inputs of an event in the notation.
 fn inputs(now: Duration, classes: &[MessageClass], text: &str) -> Vec<Input> {
     let words = Words::new(text);
     match words.plain[0] {
@@ -237,25 +243,25 @@
         "oldlist" => vec![Input::ListMayBeStale],
         "listed" => vec![Input::ListReceived],
         "nolist" => vec![Input::PollFailed { retry_after: None }],
-        other => panic!("no event {other}"),
+        other => panic!("unknown event {other}"),
     }
 }
 
-/// A scenario as it is played.
+/// A scenario that is being run.
 #[derive(Default)]
-struct Player {
+struct ScenarioRun {
     settings_line: String,
     classes: Vec<MessageClass>,
     kinds: Vec<DestinationKind>,
     policy: Option<DeliveryPolicy>,
     now: Duration,
-    /// What was decided in the last span.
+    /// The decisions of the last `at` or `until` line.
     recorder: Recorder,
     checks: usize,
 }
 
-impl Player {
-    fn play_line(&mut self, line: &str, place: &str) {
+impl ScenarioRun {
+    fn run_line(&mut self, line: &str, place: &str) {
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         match word {
             "facts" => self.settings_line = line.into(),
@@ -263,7 +269,7 @@
             "kind" => self.kinds.push(destination_kind(&Words::new(line))),
             "at" | "until" => {
                 let (time, events) = rest.split_once(':').unwrap_or((rest, ""));
-                let seconds = time.parse().unwrap_or_else(|_| panic!("{place}: no time"));
+                let seconds = time.parse().unwrap_or_else(|_| panic!("{place}: invalid time"));
                 self.advance(Duration::from_secs_f64(seconds), word == "until", events);
             }
             _ => self.check(word, rest, place),
@@ -277,8 +283,8 @@
         let policy = self.policy.get_or_insert_with(start);
         self.recorder = Recorder {
             decisions: Vec::new(),
-            outcomes_must_be_taken: self.settings_line.contains("notices"),
-            shows_forgotten: self.settings_line.contains("forgets"),
+            requires_acknowledgement: self.settings_line.contains("notices"),
+            records_forgotten: self.settings_line.contains("forgets"),
         };
         while in_steps && self.now + STEP < end {
             self.now += STEP;
@@ -292,7 +298,7 @@
 
     fn check(&mut self, word: &str, expected: &str, place: &str) {
         let decisions = &self.recorder.decisions;
-        let seen = format!("{place}\nseen: {}", decisions.join("; "));
+        let seen = format!("{place}\ndecisions: {}", decisions.join("; "));
         let found = decisions.iter().filter(|decision| decision.starts_with(expected)).count();
         match word {
             "=>" => assert_eq!(decisions.join("; "), expected, "{seen}"),
@@ -309,77 +315,77 @@
     }
 }
 
-#[test_case("rule1"; "rule 1 one final answer in time")]
-#[test_case("rule2"; "rule 2 no effect twice")]
-#[test_case("rule2-zone"; "rule 2 repeats stay in the zone")]
-#[test_case("rule2-push"; "rule 2 rejected only where allowed")]
-#[test_case("rule3"; "rule 3 drains are kept")]
-#[test_case("rule3-start"; "rule 3 a list that may be old")]
+#[test_case("rule1"; "rule 1 one final answer before the deadline")]
+#[test_case("rule2"; "rule 2 no message takes effect twice")]
+#[test_case("rule2-zone"; "rule 2 repeats stay in the deduplication zone")]
+#[test_case("rule2-push"; "rule 2 messages that may have run are rejected only where allowed")]
+#[test_case("rule3"; "rule 3 draining endpoints get no new messages")]
+#[test_case("rule3-start"; "rule 3 a possibly stale list is not used at once")]
 #[test_case("rule4"; "rule 4 a destination in slow start is not overloaded")]
 #[test_case("rule5"; "rule 5 order by key")]
-#[test_case("rule6"; "rule 6 a retry after binds")]
-#[test_case("rule6-apart"; "rule 6 by route where endpoints are independent")]
-#[test_case("rule6-batch"; "rule 6 every retry after of a call binds")]
-#[test_case("breaker"; "five failures open, one trial decides")]
-#[test_case("breaker-apart"; "independent endpoints have breakers of their own")]
-#[test_case("breaker-quiet"; "few calls open a quiet destination")]
-#[test_case("breaker-hung"; "calls without an answer open")]
-#[test_case("slow"; "a slow host is tried at once")]
-#[test_case("partial"; "a few resets are no outage")]
-#[test_case("refused-crowd"; "the first rejection in a large fleet")]
-#[test_case("trial"; "the trial is a message that may run again")]
-#[test_case("trial-crowd"; "trials of a large fleet leave a destination in slow start room")]
-#[test_case("slots"; "free calls go where the fewest are in flight")]
+#[test_case("rule6"; "rule 6 a retry after applies to the destination")]
+#[test_case("rule6-apart"; "rule 6 a retry after applies to one independent endpoint")]
+#[test_case("rule6-batch"; "rule 6 every retry after of a call applies")]
+#[test_case("breaker"; "five failures open the breaker and one trial decides")]
+#[test_case("breaker-apart"; "independent endpoints have separate breakers")]
+#[test_case("breaker-quiet"; "few failures open the breaker of a quiet destination")]
+#[test_case("breaker-hung"; "overdue calls open the breaker")]
+#[test_case("slow"; "a late success allows the trial at once")]
+#[test_case("partial"; "resets among successes are no outage")]
+#[test_case("refused-crowd"; "a large fleet backs off on the first rejection")]
+#[test_case("trial"; "the trial prefers a message that may run again")]
+#[test_case("trial-crowd"; "trials of a large fleet do not overload a destination in slow start")]
+#[test_case("slots"; "destinations with the fewest calls in flight are served first")]
 #[test_case("slot-share"; "one destination cannot take all calls")]
-#[test_case("suspects"; "failed destinations together leave calls free")]
-#[test_case("recall"; "overdue calls are cancelled when calls run short")]
-#[test_case("credits"; "a concurrency limit is used up and grows back")]
-#[test_case("credits-grow"; "a cut limit grows again")]
-#[test_case("suspect"; "one call at a time while failures run")]
-#[test_case("dead-endpoint"; "a dead endpoint beside a live one is held off")]
-#[test_case("stale"; "no stale connection after a reset")]
-#[test_case("stale-silent"; "no stale connection after silence")]
+#[test_case("suspects"; "failing destinations together leave calls free")]
+#[test_case("recall"; "overdue calls are cancelled when few calls are free")]
+#[test_case("credits"; "a concurrency limit bounds calls in flight")]
+#[test_case("credits-grow"; "a decreased concurrency limit grows again")]
+#[test_case("suspect"; "one call at a time after a failure")]
+#[test_case("dead-endpoint"; "a failing endpoint of several is skipped")]
+#[test_case("stale"; "idle connections are closed after resets")]
+#[test_case("stale-silent"; "idle connections are closed after missing responses")]
 #[test_case("crowd"; "no idle connections in a large fleet")]
-#[test_case("crowd-room"; "idle connections in a large fleet where there is room")]
+#[test_case("crowd-room"; "idle connections in a large fleet while tables are not full")]
 #[test_case("refused"; "a rejection without a retry after backs off")]
-#[test_case("shut"; "a shut destination is asked with one message")]
-#[test_case("limit"; "a limit that tells a retry after is no outage")]
-#[test_case("pace"; "the listed rate paces")]
-#[test_case("pace-crowd"; "in a large fleet no message waits for an even share")]
-#[test_case("share"; "over its quota a tenant goes last")]
-#[test_case("line"; "what holds others back goes first")]
-#[test_case("batch"; "a batch is one call")]
-#[test_case("batch-times"; "a call holds messages with like times left")]
-#[test_case("batch-bytes"; "a call holds no more than a body may")]
-#[test_case("hold"; "the least weight is rejected when places run out")]
-#[test_case("legs"; "retries go by priority weight")]
-#[test_case("list"; "lists whole and in part")]
-#[test_case("forget"; "what is gone is forgotten once no rule needs it")]
-#[test_case("watch-crowd"; "a large fleet does not poll together")]
-#[test_case("watch"; "the list is polled again")]
+#[test_case("shut"; "a destination that rejects all gets one message per call")]
+#[test_case("limit"; "rejections with a retry after are no outage")]
+#[test_case("pace"; "calls are paced by the listed rate")]
+#[test_case("pace-crowd"; "a large fleet is not paced by an even share of a low rate")]
+#[test_case("share"; "messages over a tenant quota are sent last")]
+#[test_case("line"; "a message with a longer key queue is sent first")]
+#[test_case("batch"; "messages to one endpoint share a call")]
+#[test_case("batch-times"; "messages that share a call have similar times left")]
+#[test_case("batch-bytes"; "a call of several messages fits the maximum body size")]
+#[test_case("hold"; "the message of the lowest weight is rejected under load")]
+#[test_case("legs"; "the number of retries depends on the priority weight")]
+#[test_case("list"; "full lists and list updates")]
+#[test_case("forget"; "removed endpoints are forgotten once no rule needs them")]
+#[test_case("watch-crowd"; "a large fleet does not poll at the same time")]
+#[test_case("watch"; "a failed poll is retried")]
 #[test_case("stray"; "stray events are ignored")]
-#[test_case("back"; "what failed for a while comes back in slow start")]
-#[test_case("rule5-rest"; "rule 5 a key rests by what is known of the run")]
-#[test_case("rule5-notice"; "rule 5 a final outcome that is not taken holds back its key")]
-#[test_case("rule6-beside"; "rule 6 a retry after beside outcomes binds")]
-#[test_case("restart"; "what was in flight before a restart may have run")]
-#[test_case("restart-room"; "a restart's untried messages are not rejected for others")]
-#[test_case("restart-untried"; "a restart's untried messages go first")]
-#[test_case("untold-paced"; "what was rejected is paced where no rate is listed")]
-#[test_case("one-place"; "one place holds one")]
-#[test_case("untold-crowd"; "a large fleet reckons no rate from its own answers")]
-#[test_case("told-limit"; "answers tell the limit where no rate is listed")]
-#[test_case("worthless"; "a class of no weight is sent all the same")]
-#[test_case("untold-cold"; "a slow start where no rate is listed")]
-#[test_case("restart-order"; "rule 5 order by key across a restart")]
+#[test_case("back"; "a quiet destination recovers in slow start after an outage")]
+#[test_case("rule5-rest"; "rule 5 a hold-off depends on the run state")]
+#[test_case("rule5-notice"; "rule 5 an unacknowledged final outcome delays its key")]
+#[test_case("rule6-beside"; "rule 6 a retry after separate from outcomes applies")]
+#[test_case("restart"; "attempts in flight before a restart may have run")]
+#[test_case("restart-room"; "restored messages without attempts are not rejected for others")]
+#[test_case("restart-untried"; "restored messages without attempts are sent first")]
+#[test_case("untold-paced"; "a route is paced after a rejection if no rate is listed")]
+#[test_case("one-place"; "a relay with room for one message holds one")]
+#[test_case("untold-crowd"; "a large fleet is not paced by its own rate estimate")]
+#[test_case("told-limit"; "a reported rate limit applies if no rate is listed")]
+#[test_case("worthless"; "messages of a class of weight zero are sent")]
+#[test_case("untold-cold"; "slow start uses the estimated rate if none is listed")]
+#[test_case("restart-order"; "rule 5 order by key after a restart")]
 fn scenario(file: &str) {
     let path = format!("{}/tests/scenarios/{file}.txt", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
-    let mut player = Player { settings_line: "facts".into(), ..Player::default() };
+    let mut run = ScenarioRun { settings_line: "facts".into(), ..ScenarioRun::default() };
     for (index, line) in text.lines().enumerate() {
         if !line.trim().is_empty() && !line.starts_with("# ") {
-            player.play_line(line, &format!("{file}:{}: {line}", index + 1));
+            run.run_line(line, &format!("{file}:{}: {line}", index + 1));
         }
     }
-    assert!(player.checks > 0, "{file} checks nothing");
+    assert!(run.checks > 0, "{file} contains no checks");
 }
