--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -28,7 +28,7 @@
     Reset,
     /// The relay cancelled the attempt.
     Cancelled,
-    /// Not sent by the relay, or not processed by the endpoint.
+    /// Not sent by the relay, or not passed on by the endpoint.
     NotSent,
     /// Not sent because of a shortage on the relay's own machine: descriptors, ports, memory, a state folder
     /// that can't be written. It says nothing about the destination and does not count as an attempt.
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Returns the state of a run if the response was either read completely or missing.
+    /// Returns the state of a run, for a host that sees either a complete response or none.
     pub fn from_outcome(outcome: Outcome) -> RunState {
         RunState::from_call(outcome, outcome.call_end())
     }
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -76,9 +76,9 @@
     if state.settings.listed_rate != ListedRate::Unknown || route.rate_limit_reported {
         return;
     }
-    route.answered_calls.add(now, 0.0);
+    route.successful_calls.add(now, 0.0);
     let span = now.as_secs().clamp(RATE_ESTIMATE_SECONDS_MIN, RATE_ESTIMATE_WINDOW_SECONDS as u64) as f64;
-    let estimate = route.answered_calls.totals(now).count / span;
+    let estimate = route.successful_calls.totals(now).count / span;
     route.rate_limit = (estimate * relay_count).max(min_rate_estimate(&state.settings));
 }
 
--- a/src/state/routes.rs
+++ b/src/state/routes.rs
@@ -61,7 +61,7 @@
     pub(crate) slow_start_budget: TokenBucket,
     /// A value of 1 for each failure, 0 for each success.
     pub(crate) recent_results: SlidingWindow<RECENT_RESULT_WINDOW_SECONDS>,
-    pub(crate) answered_calls: SlidingWindow<RATE_ESTIMATE_WINDOW_SECONDS>,
+    pub(crate) successful_calls: SlidingWindow<RATE_ESTIMATE_WINDOW_SECONDS>,
 }
 
 impl Route {
