--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -31,7 +31,7 @@
     /// Not sent by the relay, or not passed on by the endpoint.
     NotSent,
     /// Not sent because of a shortage on the relay's own machine: descriptors, ports, memory, a state folder
-    /// that can't be written. It says nothing about the destination and does not count as an attempt.
+    /// that can't be written. It is no fault of the destination and does not count as an attempt.
     LocalFailure,
 }
 
--- a/tests/ordering.rs
+++ b/tests/ordering.rs
@@ -92,7 +92,7 @@
     assert_eq!(policy.check_before_send(second, ENDPOINT, now), Err(SendError::OutOfOrder));
     assert_eq!(policy.ordering_state(second, now), Some(OrderingState::QueuedBehind(first)));
     now += Duration::from_millis(100);
-    // The first line of the response says that the message is delivered; then the relay stops reading.
+    // The first line of the response confirms the delivery; then the relay stops reading.
     let ended = Input::AttemptEnded {
         message: first,
         endpoint: ENDPOINT,
