--- a/crates/handover/src/error.rs
+++ b/crates/handover/src/error.rs
@@ -1,21 +1,22 @@
-//! What can go wrong at a handover.
+//! Errors of a handover.
 
 use crate::snapshot::FORMAT;
 
-/// Why a process has no role, or a snapshot can't be read: one plain line each.
+/// Reason why a process gets no role, or why a snapshot can't be read.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum HandoverError {
-    /// An active process and a successor run beside this one: a third has no place.
+    /// Other processes hold both locks: an active process and a successor are running, and a third is not
+    /// allowed.
     #[error("two processes of this relay hold the state folder already")]
     StateFolderTaken,
     /// The snapshot was written by a newer program.
-    #[error("it is of format {format}; this program reads formats up to {known}", known = FORMAT)]
+    #[error("unsupported format {format}; this program reads formats up to {known}", known = FORMAT)]
     NewerFormat {
-        /// The format that the snapshot says it is of.
+        /// The format that the snapshot declares.
         format: u32,
     },
-    /// The text is no snapshot.
-    #[error("no snapshot: {0}")]
+    /// The text is not a snapshot.
+    #[error("not a valid snapshot: {0}")]
     NotASnapshot(#[source] serde_json::Error),
 }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,19 +1,24 @@
-//! What an upgrade hands from one process of a relay to the next, and which process owns each message; no I/O.
+//! The handover of a relay during an upgrade: the state that one process leaves to the next, and the rules
+//! that decide which process owns each message. No I/O.
 //!
-//! Two processes of one relay may share its state folder, as in a hot restart: the one that runs and a newer one
-//! beside it.
+//! Two processes of one relay may share its state folder, as in a hot restart: the running one and a newer
+//! one.
 //!
-//! - The *active process* holds the lock [`LOCK_FILE`], keeps the spool `spool.log` and is the only one that sends.
-//! - A process that starts while another is active is its *successor*: it holds the same lock in
-//!   [`SUCCESSOR_DIR`], answers clients, keeps what they submit in `next/spool.log`, and sends nothing.
-//! - When the active process has ended (its lock is free), the successor becomes active: both spools are merged in
-//!   the order in which their messages were accepted, and what the process before it knew of its destinations
-//!   ([`SNAPSHOT_FILE`], a [`Snapshot`]) is restored before the first decision.
+//! - The *active process* holds the lock [`LOCK_FILE`], keeps the spool `spool.log` and is the only one that
+//!   sends.
+//! - A process that starts while another is active is its *successor*: it holds the lock file of the same
+//!   name in [`SUCCESSOR_DIR`], accepts messages from clients, stores them in `next/spool.log`, and sends
+//!   nothing.
+//! - When the active process has exited (its lock is free), the successor becomes active: it merges both
+//!   spools in the order in which their messages were accepted, and restores the previous process's state of
+//!   the destinations ([`SNAPSHOT_FILE`], a [`Snapshot`]) before the first decision.
 //!
-//! What one process tells the other ends with it: locks end with their process, the marker of a handover
-//! ([`HANDING_OVER_FILE`]) is one, and a snapshot names its writer.
+//! State that one process publishes to the other is valid only while that process exists: locks are released
+//! when their process exits, the handover marker ([`HANDING_OVER_FILE`]) is a lock too, and a snapshot names
+//! its writer.
 //!
-//! Times in a snapshot are Unix milliseconds: the two processes share the machine's clock, not their starts.
+//! Times in a snapshot are Unix milliseconds, because the two processes share the machine's clock but not
+//! their start times.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/handover/src/merge.rs
+++ b/crates/handover/src/merge.rs
@@ -1,24 +1,26 @@
-//! Two spools merged into one.
+//! Merges the spools of two processes.
 
 use std::collections::BTreeSet;
 
-/// Which spool a message comes from.
+/// The spool that a message comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpoolOwner {
-    /// The active process's.
+    /// The spool of the active process.
     Active,
-    /// The successor's.
+    /// The spool of the successor.
     Successor,
 }
 
-/// The order of one spool made of two, as sides and indexes in them. Each side gives its messages as id and time
-/// of acceptance, in its own order; they are merged by these times, the active process's first at a tie. Messages
-/// of one key are submitted one after another, each once the one before was accepted, so this keeps every key's
-/// order. A successor's message whose id the active process holds already is left out: the one that came first
-/// stands.
+/// Returns the merged order of two spools, as pairs of owner and index in that owner's spool.
+///
+/// Each spool lists its messages as id and time of acceptance, in its own order. Messages are merged by time
+/// of acceptance; at a tie the active process's message is first. Clients submit the messages of one key one
+/// after another, each once the previous one was accepted, so the merge keeps the order of every key. A
+/// successor's message whose id the active process also has is omitted: the active process's message is kept.
 pub fn merge(active: &[(&[u8], u64)], successor: &[(&[u8], u64)]) -> Vec<(SpoolOwner, usize)> {
-    let held: BTreeSet<&[u8]> = active.iter().map(|(id, _)| *id).collect();
-    let new: Vec<usize> = (0..successor.len()).filter(|index| !held.contains(successor[*index].0)).collect();
+    let active_ids: BTreeSet<&[u8]> = active.iter().map(|(id, _)| *id).collect();
+    let new: Vec<usize> =
+        (0..successor.len()).filter(|index| !active_ids.contains(successor[*index].0)).collect();
     let mut order = Vec::with_capacity(active.len() + new.len());
     let mut next_active = 0;
     let mut next_new = 0;
--- a/crates/handover/src/role.rs
+++ b/crates/handover/src/role.rs
@@ -1,53 +1,57 @@
-//! Which of two processes of a relay is the active one, and what a successor may do until it is.
+//! The role of a process, active or successor, and the messages that each role accepts.
 
 use crate::error::HandoverError;
 use std::time::Duration;
 
-/// The lock's file, in the state folder for the active process and in [`SUCCESSOR_DIR`] for its successor.
+/// Name of the lock file: in the state folder for the active process, in [`SUCCESSOR_DIR`] for its successor.
 pub const LOCK_FILE: &str = "lock";
-/// The file in the state folder that an active process makes as it begins to hand over: it sends nothing new from then
-/// on, and takes no message in order. The process keeps the file locked, so that what it says ends with the process: a file
-/// that nobody holds locked says nothing.
+/// Marker file in the state folder, created by an active process as it begins to hand over: from then on it
+/// sends nothing new and accepts no message in order. The process keeps the file locked, so that the marker
+/// is valid only while the process exists; an unlocked file has no meaning.
 pub const HANDING_OVER_FILE: &str = "handing-over";
-/// The successor's folder in the state folder.
+/// Name of the successor's folder in the state folder.
 pub const SUCCESSOR_DIR: &str = "next";
-/// How often a successor tries the active process's lock: nobody sends between its end and the next try.
+/// Interval at which a successor tries the active process's lock. No process sends between the exit of the
+/// active process and the next try.
 pub const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often the active process looks for messages of a successor that has ended.
+/// Interval at which the active process looks for messages of a successor that has exited.
 pub const ORPHAN_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A successor holds a message for so long at most before it is active: the active process ends before its
-/// SIGKILL, which comes 3.7 s after its SIGTERM, and the SIGTERM follows once the successor says that it serves.
+/// Longest time for which a successor holds a message before it becomes active. The active process exits
+/// before its SIGKILL, which comes 3.7 s after its SIGTERM, and the SIGTERM is sent once the successor
+/// reports that it serves.
 pub const MAX_TAKEOVER_DELAY: Duration = Duration::from_millis(4_000);
-/// A successor accepts a message only with so much more time left than it may hold it.
+/// Time that a message must have left until its deadline, beyond [`MAX_TAKEOVER_DELAY`], for a successor to
+/// accept it.
 pub const DEADLINE_MARGIN: Duration = Duration::from_millis(500);
-/// The share of the folder's bytes for the active process's spool. What both shares leave is for small files, and
-/// for the spool of an active process of an older version that took all.
+/// Share of the folder's size limit for the active process's spool. The rest that both shares leave is for
+/// small files, and for the spool of an active process of an older version that used the whole limit.
 pub const ACTIVE_DISK_SHARE: f64 = 0.6;
-/// The share of the folder's bytes for the successor's spool.
+/// Share of the folder's size limit for the successor's spool.
 pub const SUCCESSOR_DISK_SHARE: f64 = 0.25;
 
-/// What an active process finds of an earlier successor at its start.
+/// State in which an active process finds an earlier successor at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PreviousSuccessor {
-    /// Nothing.
+    /// There is no earlier successor.
     None,
-    /// It has ended and left messages in `next/`: they are this process's.
+    /// It has exited and left messages in `next/`, which now belong to this process.
     LeftMessages,
-    /// It still runs, and keeps what it has accepted until it ends.
+    /// It is still running, and keeps the messages that it has accepted until it exits.
     Running,
 }
 
-/// What a process is at its start, by the locks it could take.
+/// Role of a process at its start, determined by the locks that it acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It owns the spool and sends.
+    /// The process owns the spool and sends.
     Active(PreviousSuccessor),
-    /// Another process is active: this one accepts messages until the other's lock is free.
+    /// Another process is active; this one accepts messages until the other's lock is free.
     Successor,
 }
 
-/// Decides the role from the locks: `active_lock_taken` if this process took `lock`, `successor_lock_taken` if it
-/// took `next/lock`; `successor_spool_exists` if there is a `next/spool.log`.
+/// Determines the role from the locks: `active_lock_taken` if this process acquired `lock`,
+/// `successor_lock_taken` if it acquired `next/lock`; `successor_spool_exists` if there is a
+/// `next/spool.log`.
 ///
 /// # Errors
 /// [`HandoverError::StateFolderTaken`] if other processes hold both locks.
@@ -65,33 +69,36 @@
     }
 }
 
-/// True if a process in this role reads the snapshot that the process before it left. A successor does: it and the
-/// active process are one relay, so the Retry-Afters that the one was given bind the other. A process that is
-/// active at its start does not: the one before it ended or was killed, and a restart ends every wait (PROTOCOL);
-/// it starts with closed breakers.
+/// Returns whether a process in this role reads the snapshot that the previous process left. A successor
+/// does: it and the active process are one relay, so a Retry-After received by one binds the other. A process
+/// that is active at its start does not: the previous one exited or was killed, a restart ends every wait
+/// (PROTOCOL), and the process starts with closed breakers.
 pub fn reads_snapshot(role: Role) -> bool {
     role == Role::Successor
 }
 
-/// What a successor knows of the active process beside it.
+/// State of the active process as its successor sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ActiveProcessState {
-    /// The active process says that it sends nothing new and takes no message in order.
+    /// Whether the active process has announced that it sends nothing new and accepts no message in order.
     pub is_handing_over: bool,
-    /// Both processes date what they store by one time line, so that their messages can be merged in order.
+    /// Whether both processes date stored data by the same clock, so that their messages can be merged in
+    /// order.
     pub has_shared_clock: bool,
 }
 
-/// True if a successor accepts a message with `left` until its deadline; else it is rejected, as it might expire
-/// while nobody may send it. One that has its place in the order of a key is accepted only where that place is certain:
-/// else the active process could send the next one of the key before it.
+/// Returns whether a successor accepts a message with `left` until its deadline. Without enough time left the
+/// message is rejected, as it might expire while no process may send it. A message in order is accepted only
+/// if its position among the messages of its key is certain; otherwise the active process could send the next
+/// one of the key first.
 pub fn successor_accepts(left: Duration, is_in_order: bool, active: ActiveProcessState) -> bool {
-    let place_is_certain = active.is_handing_over && active.has_shared_clock;
-    left > MAX_TAKEOVER_DELAY + DEADLINE_MARGIN && (!is_in_order || place_is_certain)
+    let has_certain_position = active.is_handing_over && active.has_shared_clock;
+    left > MAX_TAKEOVER_DELAY + DEADLINE_MARGIN && (!is_in_order || has_certain_position)
 }
 
-/// True if an active process accepts a message. From the handover on messages in order are its successor's, and beside a
-/// successor that has yet to end, which may have accepted earlier ones of the key, they wait for that end.
+/// Returns whether an active process accepts a message. Once it hands over, messages in order are left to its
+/// successor. While a successor that has not yet exited may hold earlier messages of the key, messages in
+/// order are not accepted until that successor has exited.
 pub fn active_accepts(is_in_order: bool, is_handing_over: bool, successor_may_hold_earlier: bool) -> bool {
     !is_in_order || !(is_handing_over || successor_may_hold_earlier)
 }
--- a/crates/handover/src/start_plan.rs
+++ b/crates/handover/src/start_plan.rs
@@ -1,19 +1,23 @@
-//! How long a process waits at its start, and for what.
+//! Time limits of the startup of a process.
 
 use std::time::Duration;
 
-/// What a process can serve without is waited for so long: the platform wants it ready within 10 s.
+/// Time limit for resources that a process can serve without. The platform expects the process to be ready
+/// within 10 s.
 pub const OPTIONAL_RESOURCE_TIMEOUT: Duration = Duration::from_secs(6);
-/// What it can't serve without is waited for so long: later than 30 s after its start nobody waits for it.
+/// Time limit for resources that a process can't serve without. The platform stops waiting for a process 30 s
+/// after its start.
 pub const REQUIRED_RESOURCE_TIMEOUT: Duration = Duration::from_secs(25);
-/// Both locks may be taken without a third process being one too many: a process that takes over holds both until it has merged
-/// the spools, which on a folder that fails takes a while. Waited for as long as for all that a start can serve without.
+/// Time limit for acquiring one of the two locks. Both may be taken although only one other process is
+/// running: a process that takes over holds both until it has merged the spools, which is slow if the state
+/// folder fails.
 pub const LOCK_ACQUISITION_TIMEOUT: Duration = OPTIONAL_RESOURCE_TIMEOUT;
-/// A successor that still runs is left the free lock of the active process for so long: it looks every 20 ms, unless it is
-/// ending.
+/// Time for which a starting process leaves the free lock of the active process to a running successor.
+/// Unless that successor is stopping, it tries the lock every 20 ms.
 pub const SUCCESSOR_TAKEOVER_TIMEOUT: Duration = Duration::from_millis(500);
-/// A message waits so long for the spool to be opened, then it is rejected: its client waits 0.4 s for an answer.
+/// Time for which a message waits for the spool to be opened before it is rejected. Its client waits 0.4 s
+/// for an answer.
 pub const SPOOL_OPEN_TIMEOUT: Duration = Duration::from_millis(200);
-/// A new configuration that can't be read is tried again for so long: nobody sends a second SIGHUP for it, and a file that
-/// is bad stays so.
+/// Time for which an unreadable new configuration is retried. The platform does not send a second SIGHUP for
+/// it, but a file that is invalid does not become valid by itself.
 pub const RELOAD_RETRY_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/handover/src/stop_plan.rs
+++ b/crates/handover/src/stop_plan.rs
@@ -1,29 +1,30 @@
-//! How a process stops.
+//! The phases in which a process stops.
 
 use std::time::Duration;
 
-/// What an active process does once it is told to stop.
+/// Time limits of an active process after it was told to stop, counted from then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopPlan {
-    /// New client connections are accepted for so long: the platform's load balancer still sends them.
+    /// Time for which new client connections are accepted, as the platform's load balancer still sends them.
     pub accept_duration: Duration,
-    /// New attempts are sent for so long ...
+    /// Time for which new attempts are sent.
     pub send_duration: Duration,
-    /// ... and it ends by then, whatever is still in flight.
+    /// Time after which the process exits, even if attempts are in flight.
     pub exit_timeout: Duration,
-    /// It ends as soon as nothing is in flight and no client is left, though it holds messages.
+    /// Whether the process exits as soon as nothing is in flight and no client is connected, even if it holds
+    /// messages.
     pub is_handover: bool,
 }
 
-/// A stop for a restart: SIGKILL may come 3.7 s after SIGTERM.
+/// Stop for a restart. SIGKILL may come 3.7 s after SIGTERM.
 pub const RESTART: StopPlan = StopPlan {
     accept_duration: Duration::from_millis(500),
     send_duration: Duration::from_millis(2_000),
     exit_timeout: Duration::from_millis(3_500),
     is_handover: false,
 };
-/// A stop with a successor beside it: every new connection goes to the successor, every message it holds is the
-/// successor's once it has ended, and the sooner it ends the sooner these are sent.
+/// Stop with a running successor. New connections go to the successor, which also takes over all remaining
+/// messages once this process has exited: the sooner it exits, the sooner they are sent.
 pub const HANDOVER: StopPlan = StopPlan {
     accept_duration: Duration::ZERO,
     send_duration: Duration::ZERO,
@@ -31,7 +32,7 @@
     is_handover: true,
 };
 
-/// How to stop: a handover if a successor is there.
+/// Returns the plan for a stop: a handover if a successor is running, a restart otherwise.
 pub fn stop_plan(successor_present: bool) -> StopPlan {
     if successor_present { HANDOVER } else { RESTART }
 }
--- a/crates/handover/src/tests.rs
+++ b/crates/handover/src/tests.rs
@@ -3,18 +3,18 @@
 use std::time::Duration;
 
 #[test]
-fn the_role_follows_from_the_locks() {
+fn role_is_determined_by_the_acquired_locks() {
     let role_of = |active, successor, spool| determine_role(active, successor, spool).expect("a role");
     assert_eq!(role_of(true, true, false), Role::Active(PreviousSuccessor::None));
     assert_eq!(role_of(true, true, true), Role::Active(PreviousSuccessor::LeftMessages));
-    // A successor that is still there keeps its messages until it is active.
+    // A successor that is still running keeps its messages until it is active.
     assert_eq!(role_of(true, false, true), Role::Active(PreviousSuccessor::Running));
     assert_eq!(role_of(false, true, true), Role::Successor);
     assert!(matches!(determine_role(false, false, false), Err(HandoverError::StateFolderTaken)));
 }
 
 #[test]
-fn a_successor_accepts_only_what_has_time_left_beyond_its_longest_hold() {
+fn successor_rejects_messages_that_may_expire_before_takeover() {
     for (is_in_order, is_handing_over) in [(false, false), (false, true), (true, true)] {
         let active = ActiveProcessState { is_handing_over, has_shared_clock: true };
         assert!(!successor_accepts(MAX_TAKEOVER_DELAY, is_in_order, active));
@@ -23,7 +23,8 @@
     }
 }
 
-// Of two processes side by side at most one takes messages in order, and a successor only where they can be merged.
+// While both processes run, only one of them accepts messages in order, and the successor only if they can be
+// merged.
 #[test]
 fn messages_in_order_are_accepted_by_one_process_at_a_time() {
     let long = Duration::from_secs(8);
@@ -34,12 +35,12 @@
         assert_eq!((successor(true), successor(false)), (is_handing_over, false));
         assert_ne!(active_accepts(true, is_handing_over, false), successor(true));
     }
-    assert!(!active_accepts(true, false, true), "an ending successor may hold earlier ones");
-    assert!(active_accepts(false, true, true), "others have no place to keep");
+    assert!(!active_accepts(true, false, true), "a stopping successor may hold earlier messages of the key");
+    assert!(active_accepts(false, true, true), "messages without an order are always accepted");
 }
 
 #[test]
-fn a_stop_with_a_successor_accepts_and_sends_nothing_more_and_leaves_what_it_holds() {
+fn handover_stop_accepts_and_sends_nothing_and_leaves_its_messages() {
     let handover = stop_plan(true);
     assert_eq!(
         (handover.accept_duration, handover.send_duration, handover.is_handover),
@@ -55,22 +56,23 @@
 }
 
 #[test]
-fn two_spools_merge_by_the_time_of_acceptance_and_keep_each_ones_order() {
+fn merge_orders_by_time_of_acceptance_and_keeps_the_order_of_each_spool() {
     let active: Vec<(&[u8], u64)> = vec![(b"a", 10), (b"b", 30), (b"c", 50)];
     let successor: Vec<(&[u8], u64)> = vec![(b"x", 20), (b"b", 25), (b"y", 30), (b"z", 60)];
     let order = merge(&active, &successor);
-    // b came first to the active process; y ties with the active process's b and goes after it.
+    // The successor's b is a duplicate of the active process's b and is omitted; y ties with that b and
+    // follows it.
     assert_eq!(
         order,
         vec![(Active, 0), (Successor, 0), (Active, 1), (Successor, 2), (Active, 2), (Successor, 3)]
     );
-    // A side whose times go back (the clock was set) keeps its own order.
+    // A spool whose times go backwards (the clock was set back) keeps its own order.
     let active: Vec<(&[u8], u64)> = vec![(b"a", 50), (b"b", 10)];
     assert_eq!(merge(&active, &[]), vec![(Active, 0), (Active, 1)]);
 }
 
 #[test]
-fn a_snapshot_is_read_back_and_one_of_a_newer_format_is_refused_by_name() {
+fn snapshot_round_trips_and_a_newer_format_is_rejected() {
     let route = RouteRecord {
         destination: 7,
         endpoint: Some("s-1".into()),
@@ -81,14 +83,14 @@
     let snapshot = Snapshot { format: FORMAT, writer: None, written_ms: 1_000, routes: vec![route] };
     assert_eq!(Snapshot::from_json(&snapshot.to_json()).expect("a snapshot"), snapshot);
     let newer = snapshot.to_json().replace("\"format\":1", "\"format\":2");
-    let why = Snapshot::from_json(&newer).expect_err("it is refused").to_string();
-    assert_eq!(why, "it is of format 2; this program reads formats up to 1");
-    let why = Snapshot::from_json("{\"format\":1,").expect_err("it is refused").to_string();
-    assert!(why.starts_with("no snapshot: "), "{why}");
+    let error = Snapshot::from_json(&newer).expect_err("an error").to_string();
+    assert_eq!(error, "unsupported format 2; this program reads formats up to 1");
+    let error = Snapshot::from_json("{\"format\":1,").expect_err("an error").to_string();
+    assert!(error.starts_with("not a valid snapshot: "), "{error}");
 }
 
 #[test]
-fn what_binds_no_more_is_not_restored() {
+fn expired_state_is_not_restored() {
     let route = |destination, retry_after_until_ms, open_until_ms| RouteRecord {
         destination,
         endpoint: None,
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn only_a_successor_reads_what_the_active_process_left() {
+fn only_a_successor_reads_the_snapshot() {
     assert!(reads_snapshot(Role::Successor));
     assert!(
         !reads_snapshot(Role::Active(PreviousSuccessor::None))
--- a/crates/handover/tests/stored_data.rs
+++ b/crates/handover/tests/stored_data.rs
@@ -1,11 +1,11 @@
-//! The handover snapshot that the version before (commit 64fb5b4) left is read, and written as it would.
+//! Compatibility with the handover snapshot of the previous version (commit 64fb5b4), in both directions.
 
 use mountshift_handover::{RouteRecord, Snapshot};
 
 const TEXT: &str = include_str!("../../relay/tests/fixtures/64fb5b4/handover.json");
 
 #[test]
-fn the_snapshot_of_the_version_before_is_read_in_full() {
+fn reads_the_complete_snapshot_of_the_previous_version() {
     let retry_after = RouteRecord {
         destination: 7,
         endpoint: None,
@@ -29,8 +29,8 @@
     assert_eq!(Snapshot::from_json(TEXT).expect("a snapshot"), expected);
 }
 
-// So the version before can read what this one writes.
+// Guarantees that the previous version can read the snapshots of this one.
 #[test]
-fn the_snapshot_is_written_as_the_version_before_wrote_it() {
+fn writes_the_snapshot_byte_for_byte_as_the_previous_version() {
     assert_eq!(Snapshot::from_json(TEXT).expect("a snapshot").to_json(), TEXT);
 }
