--- a/crates/spool/src/batch.rs
+++ b/crates/spool/src/batch.rs
@@ -18,12 +18,12 @@
         self.records.is_empty()
     }
 
-    /// Bytes of the records.
+    /// Returns the size of the records in bytes.
     pub(crate) fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Takes back what was pushed since the records took so many bytes.
+    /// Removes the records that were pushed since the batch had this length in bytes.
     pub(crate) fn truncate(&mut self, bytes: usize) {
         self.records.truncate(bytes);
     }
@@ -32,7 +32,7 @@
         self.records.clear();
     }
 
-    /// The batch as it stands in a log with this salt from `offset` on.
+    /// Returns the batch as written at `offset` in a log with this salt.
     pub(crate) fn encode(&self, salt: u32, offset: u64) -> Vec<u8> {
         let mut bytes = frame(&encode_batch_head(BatchHead::new(salt, offset, self.records.len())));
         bytes.extend(&self.records);
@@ -40,12 +40,12 @@
     }
 }
 
-/// A salt for a log that has none.
+/// Returns a random salt for a log that has none.
 pub(crate) fn new_salt() -> u32 {
     RandomState::new().hash_one(0) as u32
 }
 
-/// The salt's record as it stands in the log.
+/// Returns the salt's record as written in the log.
 pub(crate) fn encode_salt_record(salt: u32) -> Vec<u8> {
     frame(&encode_salt(salt))
 }
--- a/crates/spool/src/compaction.rs
+++ b/crates/spool/src/compaction.rs
@@ -1,42 +1,43 @@
-//! The log written anew: which of it is still needed, and how much space that takes at most. Together the old
-//! and the new file stay within the limit.
+//! Compaction: writes the messages that are still needed to a new log file, and computes the space that they
+//! need at most. The old and the new file together stay within the size limit.
 
 use crate::log_file::{FILE_NAME, Spool};
 use crate::message::{AcceptedMessage, StoredMessage};
 use crate::record::{
     BATCH_OVERHEAD_BYTES, MAX_SMALL_RECORD_BYTES, encode_accepted, encode_attempt, encode_format,
-    encode_not_run, encode_outcome, frame,
+    encode_not_processed, encode_outcome, frame,
 };
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
 
-/// The fresh file, until it replaces the log.
+/// Name of the new log file until it replaces the log.
 pub(crate) const NEW_FILE_NAME: &str = "spool.new";
-/// Files count in whole blocks of this size, in bytes.
+/// Size in bytes of the disk blocks in which file sizes are counted.
 const BLOCK_BYTES: u64 = 512;
-/// Bytes of the format record at most.
+/// Upper bound of the size of the format record, in bytes.
 const MAX_FORMAT_RECORD_BYTES: u64 = MAX_SMALL_RECORD_BYTES;
-/// Bytes at most that a batch takes in the log beside its records, the first one's head of the log included.
-const MAX_BATCH_HEAD_BYTES: u64 = MAX_FORMAT_RECORD_BYTES + BATCH_OVERHEAD_BYTES as u64;
+/// Upper bound of the bytes that a batch adds to its records, including the log header in front of the first
+/// batch.
+const MAX_BATCH_OVERHEAD_BYTES: u64 = MAX_FORMAT_RECORD_BYTES + BATCH_OVERHEAD_BYTES as u64;
 
 impl Spool {
-    /// Replaces all messages by these, numbered anew from 1 in the order given, in a fresh file that takes the
-    /// place of the log by rename. For a handover, before any number was used. Messages that don't fit within
-    /// the limit are not stored and come back, in the order given.
+    /// Replaces all messages by the given ones, renumbered from 1 in the order given, in a new file that
+    /// replaces the log by rename. Used in a handover, before any message number is in use. Returns the
+    /// messages that don't fit within the size limit, in the order given; they are not stored.
     ///
     /// # Errors
-    /// If the fresh file can't be written; the log is then as it was.
+    /// If the new file can't be written; the log is then unchanged.
     pub fn replace_all(&mut self, messages: Vec<StoredMessage>) -> io::Result<Vec<StoredMessage>> {
         let messages_before = std::mem::take(&mut self.messages);
         let reserved_before = self.reserved_bytes;
         let next_before = self.next_number;
         self.reserved_bytes = 0;
         self.next_number = 1;
-        let mut left_over = Vec::new();
+        let mut not_stored = Vec::new();
         for message in messages {
             let needed = self.max_bytes_of(&message.accepted);
-            if !left_over.is_empty() || self.reserved_bytes + needed > self.max_bytes / 2 {
-                left_over.push(message);
+            if !not_stored.is_empty() || self.reserved_bytes + needed > self.max_bytes / 2 {
+                not_stored.push(message);
                 continue;
             }
             self.reserved_bytes += needed;
@@ -49,10 +50,11 @@
             self.next_number = next_before;
             return Err(error);
         }
-        Ok(left_over)
+        Ok(not_stored)
     }
 
-    /// Bytes that a message takes at most in a fresh file, with all its attempts and outcomes to come.
+    /// Returns the upper bound of the bytes that a message needs in a new file, including all its future
+    /// attempts and outcomes.
     pub(crate) fn max_bytes_of(&self, accepted: &AcceptedMessage) -> u64 {
         let text = (accepted.id.len() + accepted.metadata.len() + accepted.body.len()) as u64;
         let message = MAX_SMALL_RECORD_BYTES + 24 + text;
@@ -61,27 +63,27 @@
         message + attempts + outcomes
     }
 
-    /// True if the log with `more_in_log` bytes more and a fresh file with `more_reserved` bytes more fit
-    /// within the limit together.
+    /// Returns whether the log with `more_in_log` additional bytes and a new file with `more_reserved`
+    /// additional bytes together fit within the size limit.
     pub(crate) fn fits(&self, more_in_log: usize, more_reserved: u64) -> bool {
         let pending = self.pending.len() as u64 + more_in_log as u64;
-        let log = self.written_bytes + MAX_BATCH_HEAD_BYTES + pending;
-        let fresh = MAX_FORMAT_RECORD_BYTES + self.reserved_bytes + more_reserved;
-        whole_blocks(log) + whole_blocks(fresh) <= self.max_bytes || self.written_bytes == 0
+        let log = self.written_bytes + MAX_BATCH_OVERHEAD_BYTES + pending;
+        let new_log = MAX_FORMAT_RECORD_BYTES + self.reserved_bytes + more_reserved;
+        round_up_to_blocks(log) + round_up_to_blocks(new_log) <= self.max_bytes || self.written_bytes == 0
     }
 
-    /// Writes all messages to a fresh file, which takes the place of the old one: this commits them.
+    /// Writes all messages to a new file that replaces the log. This commits them.
     pub(crate) fn compact(&mut self) -> io::Result<()> {
-        self.write_fresh_log(self.next_number)?;
+        self.write_new_log(self.next_number)?;
         self.pending.clear();
         self.first_uncommitted = self.next_number;
         Ok(())
     }
 
-    /// As [`Spool::compact`], in the middle of a step: what was accepted since the last commit stays pending, as that
-    /// commit may fail.
+    /// Like [`Spool::compact`], but in the middle of a step: messages accepted since the last commit stay
+    /// pending, because their commit may fail.
     pub(crate) fn compact_committed(&mut self) -> io::Result<()> {
-        self.write_fresh_log(self.first_uncommitted)?;
+        self.write_new_log(self.first_uncommitted)?;
         self.pending.clear();
         for (number, message) in self.messages.range(self.first_uncommitted..) {
             for payload in encode_message(*number, message) {
@@ -91,9 +93,9 @@
         Ok(())
     }
 
-    /// Writes the messages numbered below `end` to a fresh file, which takes the place of the log.
-    fn write_fresh_log(&mut self, end: u64) -> io::Result<()> {
-        let bytes = self.encode_below(end);
+    /// Writes the messages with numbers below `end` to a new file that replaces the log.
+    fn write_new_log(&mut self, end: u64) -> io::Result<()> {
+        let bytes = self.encode_messages_below(end);
         let new_path = self.dir.join(NEW_FILE_NAME);
         let mut file = OpenOptions::new().create(true).append(true).open(&new_path)?;
         file.set_len(0)?;
@@ -110,8 +112,8 @@
         Ok(())
     }
 
-    /// A log that holds the messages numbered below `end` and nothing else.
-    fn encode_below(&self, end: u64) -> Vec<u8> {
+    /// Returns a log that holds only the messages with numbers below `end`.
+    fn encode_messages_below(&self, end: u64) -> Vec<u8> {
         let mut bytes = frame(&encode_format());
         for (number, message) in self.messages.range(..end) {
             for payload in encode_message(*number, message) {
@@ -122,20 +124,20 @@
     }
 }
 
-/// All records of a message.
+/// Returns the payloads of all records of a message.
 fn encode_message(number: u64, message: &StoredMessage) -> Vec<Vec<u8>> {
     let mut records = vec![encode_accepted(number, &message.accepted)];
     for attempt in &message.attempts {
         records.push(encode_attempt(number, attempt));
         if !attempt.may_have_run {
-            records.push(encode_not_run(number));
+            records.push(encode_not_processed(number));
         }
     }
     records.extend(message.pending_outcome.map(|outcome| encode_outcome(number, outcome)));
     records
 }
 
-/// What a file of so many bytes takes on disk.
-pub(crate) fn whole_blocks(bytes: u64) -> u64 {
+/// Returns the disk space that a file of this size takes, in bytes.
+pub(crate) fn round_up_to_blocks(bytes: u64) -> u64 {
     bytes.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
--- a/crates/spool/src/error.rs
+++ b/crates/spool/src/error.rs
@@ -1,10 +1,10 @@
-//! What can go wrong with the spool.
+//! Errors of the spool.
 
 use crate::log_file::FILE_NAME;
 use crate::record::FORMAT;
 use std::io;
 
-/// Why the log can't be opened.
+/// Reason why the log can't be opened.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum SpoolError {
@@ -13,20 +13,20 @@
     Io(#[from] io::Error),
     /// The log was written by a newer program.
     #[error(
-        "{name}, byte {offset}: it is of format {format}; this program reads formats up to {known}",
+        "{name}, byte {offset}: unsupported format {format}; this program reads formats up to {known}",
         name = FILE_NAME,
         known = FORMAT
     )]
     NewerFormat {
-        /// Where the record begins in the log, in bytes.
+        /// Offset of the record in the log, in bytes.
         offset: usize,
-        /// The format that the log says it is of.
+        /// The format that the log declares.
         format: u64,
     },
-    /// The log holds a whole record, with the right checksum, that this program can't read.
-    #[error("{name}, byte {offset}: a record of a kind that this program does not know", name = FILE_NAME)]
+    /// The log holds a complete record, with a correct checksum, that this program can't read.
+    #[error("{name}, byte {offset}: record of unknown type", name = FILE_NAME)]
     UnknownRecord {
-        /// Where the record begins in the log, in bytes.
+        /// Offset of the record in the log, in bytes.
         offset: usize,
     },
 }
--- a/crates/spool/src/lib.rs
+++ b/crates/spool/src/lib.rs
@@ -1,15 +1,14 @@
-//! The spool, the durable log of a relay: accepted messages, their attempts and their outcomes, appended to one
-//! file. What was written outlives the process, not the machine: nothing is synced. When the file grows, the
-//! messages that are not over are written to a second one that takes its place by rename; both together stay
-//! within the limit.
+//! The spool, the durable log of a relay: accepted messages, their attempts and their outcomes, appended to
+//! one file. Written data survives the end of the process but not a crash of the machine: nothing is synced.
+//! When the file grows, the messages that are not finished are written to a second file that replaces it by
+//! rename. Both files together stay within the size limit.
 //!
-//! - [`Spool`] owns the file and the messages in it; it decides nothing about them.
-//! - `batch` collects what is written together, `replay` reads it back.
+//! Records that were committed together are read back together or not at all, even if a write was cut short.
+//! Records committed after a failed write are never placed behind the torn data of that write.
 //!
-//! What is committed together is found together or not at all, also if a write was cut short; what is committed after a
-//! write that failed never stands behind a torn one.
-//!
-//! - `record` holds the encoding, `compaction` the writing anew.
+//! - [`Spool`] owns the file and the messages in it; it makes no decisions about them.
+//! - `batch` collects records that are written together, `replay` reads them back.
+//! - `record` holds the encoding, `compaction` rewrites the log.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/spool/src/log_file.rs
+++ b/crates/spool/src/log_file.rs
@@ -1,12 +1,12 @@
-//! The log file and the messages in it: opening and replaying, appending, committing.
+//! The log file and the messages in it: opens and replays the log, appends records, commits.
 
 use crate::batch::{Batch, encode_salt_record, new_salt};
-use crate::compaction::{NEW_FILE_NAME, whole_blocks};
+use crate::compaction::{NEW_FILE_NAME, round_up_to_blocks};
 use crate::error::SpoolError;
 use crate::message::{AcceptedMessage, AttemptRecord, FinalOutcome, StoredMessage};
 use crate::record::{
-    Record, encode_accepted, encode_attempt, encode_format, encode_not_run, encode_outcome, encode_removed,
-    frame,
+    Record, encode_accepted, encode_attempt, encode_format, encode_not_processed, encode_outcome,
+    encode_removed, frame,
 };
 use crate::replay::replay;
 use log::warn;
@@ -15,46 +15,47 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The log's file in its folder.
+/// Name of the log file in its folder.
 pub const FILE_NAME: &str = "spool.log";
 
-/// The open log. A message goes by a number; numbers grow in the order in which messages were accepted.
-/// Changes are kept in memory until [`Spool::commit`] writes them.
+/// The open log. Messages are identified by numbers, which increase in the order in which messages were
+/// accepted. Changes are kept in memory until [`Spool::commit`] writes them.
 pub struct Spool {
     pub(crate) dir: PathBuf,
     pub(crate) file: File,
-    /// Bytes of the log that are whole.
+    /// Length in bytes of the complete part of the log.
     pub(crate) written_bytes: u64,
-    /// Bytes may follow these in the file that belong to no record: a write that failed or was cut short. Nothing is
-    /// written before they are gone.
+    /// Whether the file may continue after `written_bytes` with data of a write that failed or was cut short.
+    /// Nothing is appended until that data is removed.
     pub(crate) has_torn_tail: bool,
-    /// The number that heads of batches are checked with; none until the first batch.
+    /// Secret number with which the heads of batches are checked; `None` until the first batch.
     pub(crate) salt: Option<u32>,
     /// Records that are not written yet.
     pub(crate) pending: Batch,
-    /// What the log and a fresh one may take together.
+    /// Size limit in bytes of the log and a new log file together.
     pub(crate) max_bytes: u64,
-    /// Bytes of a zone's name at most.
+    /// Upper bound of the length of a zone's name, in bytes.
     pub(crate) max_zone_bytes: u64,
     pub(crate) max_attempts: u64,
-    /// Messages that are not over, by number.
+    /// Messages that are not finished, by number.
     pub(crate) messages: BTreeMap<u64, StoredMessage>,
-    /// What these take at most in a fresh file, with all their attempts and outcomes to come.
+    /// Upper bound of the bytes that these messages need in a new file, including all their future attempts
+    /// and outcomes.
     pub(crate) reserved_bytes: u64,
-    /// The number of the next message.
+    /// Number of the next message.
     pub(crate) next_number: u64,
     /// Messages from this number on were accepted since the last commit.
     pub(crate) first_uncommitted: u64,
 }
 
 impl Spool {
-    /// Opens the log in `dir` and reads the messages that are not over; a torn tail is dropped. The files take
-    /// `max_bytes` at most; a message may have `max_attempts` attempts, at zones with names of
-    /// `max_zone_bytes` bytes at most.
+    /// Opens the log in `dir` and reads the messages that are not finished; a torn tail is dropped. The files
+    /// take at most `max_bytes`. A message may have up to `max_attempts` attempts, to zones with names of up
+    /// to `max_zone_bytes` bytes.
     ///
     /// # Errors
-    /// If the folder can't be used, or the log holds whole records that this version can't read (of a newer
-    /// format, say); the log is then left as it is.
+    /// If the folder can't be used, or if the log holds complete records that this version can't read (such
+    /// as those of a newer format); the log is then left unchanged.
     pub fn open(
         dir: &Path,
         max_bytes: u64,
@@ -62,8 +63,8 @@
         max_zone_bytes: u64,
     ) -> Result<Spool, SpoolError> {
         if let Err(error) = remove_if_present(&dir.join(NEW_FILE_NAME)) {
-            // It takes room, and is written over by the next compaction.
-            warn!("spool: {NEW_FILE_NAME} is left over: {error}");
+            // The file takes up space until the next compaction overwrites it.
+            warn!("spool: can't remove the leftover {NEW_FILE_NAME}: {error}");
         }
         let path = dir.join(FILE_NAME);
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
@@ -88,39 +89,40 @@
             spool.apply(record);
         }
         if log.skipped_bytes > 0 {
-            warn!("spool: {} bytes can't be read; what follows them is", log.skipped_bytes);
+            warn!("spool: skipped {} unreadable bytes; the records after them were read", log.skipped_bytes);
         }
-        let torn_bytes = bytes.len() - log.whole_bytes;
+        let torn_bytes = bytes.len() - log.complete_bytes;
         if torn_bytes > 0 {
-            // Cut short by the end of a process: it was never committed.
-            warn!("spool: dropped a torn tail of {torn_bytes} bytes after {}", log.whole_bytes);
+            // The process exited during a write: the data was never committed.
+            warn!("spool: dropped a torn tail of {torn_bytes} bytes at offset {}", log.complete_bytes);
         }
         spool.has_torn_tail = torn_bytes > 0;
-        spool.written_bytes = log.whole_bytes as u64;
+        spool.written_bytes = log.complete_bytes as u64;
         spool.salt = log.salt;
         spool.first_uncommitted = spool.next_number;
         spool.reserved_bytes = spool.messages.values().map(|m| spool.max_bytes_of(&m.accepted)).sum();
         Ok(spool)
     }
 
-    /// The messages that are not over, by number: in the order in which they were accepted.
+    /// Returns the messages that are not finished, by number, which is the order in which they were accepted.
     pub fn messages(&self) -> &BTreeMap<u64, StoredMessage> {
         &self.messages
     }
 
-    /// The message with this number, unless it is over.
+    /// Returns the message with this number, or `None` if it is finished.
     pub fn get(&self, number: u64) -> Option<&StoredMessage> {
         self.messages.get(&number)
     }
 
-    /// Accepts a message under a new number; none if it is not sure to fit with all that may follow.
+    /// Accepts a message and returns its new number, or `None` if there may be too little space for the
+    /// message with all its future attempts and outcomes.
     pub fn accept(&mut self, accepted: AcceptedMessage) -> Option<u64> {
         let number = self.next_number;
         let needed = self.max_bytes_of(&accepted);
         let record = encode_accepted(number, &accepted);
-        // A tenth stays free so that a nearly full log is not written anew for every message.
-        let half = (self.max_bytes / 2).saturating_sub(self.max_bytes / 20);
-        if self.reserved_bytes + needed > half {
+        // A tenth of the space stays free so that a nearly full log is not compacted for every message.
+        let max_reserved_bytes = (self.max_bytes / 2).saturating_sub(self.max_bytes / 20);
+        if self.reserved_bytes + needed > max_reserved_bytes {
             return None;
         }
         if !self.fits(record.len(), needed)
@@ -147,7 +149,7 @@
     /// Records an attempt of each of these messages, about to be sent at `at`, and commits.
     ///
     /// # Errors
-    /// If the file can't be written: then no attempt is recorded, now or later.
+    /// If the file can't be written; the attempts are then discarded, and no later commit writes them.
     pub fn record_and_commit_attempts(&mut self, numbers: &[u64], zone: &str, at: u64) -> io::Result<()> {
         let pending_before = self.pending.len();
         for number in numbers {
@@ -165,17 +167,17 @@
         committed
     }
 
-    /// True if something recorded is not committed.
+    /// Returns whether recorded changes are not committed yet.
     pub fn has_uncommitted(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Records that the last attempt was not processed.
+    /// Records that the endpoint did not process the last attempt.
     pub fn record_not_processed(&mut self, number: u64) {
         let last = self.messages.get_mut(&number).and_then(|message| message.attempts.last_mut());
         if let Some(attempt) = last {
             attempt.may_have_run = false;
-            self.append(&encode_not_run(number));
+            self.append(&encode_not_processed(number));
         }
     }
 
@@ -187,7 +189,7 @@
         }
     }
 
-    /// The message is over: nothing of it is kept.
+    /// Removes a finished message with all its attempts and outcomes.
     pub fn remove(&mut self, number: u64) {
         if let Some(message) = self.messages.remove(&number) {
             self.reserved_bytes -= self.max_bytes_of(&message.accepted);
@@ -195,28 +197,29 @@
         }
     }
 
-    /// Writes what was recorded since the last call, all of it or nothing. Before this returns no message accepted since
-    /// survives the process.
+    /// Writes all changes recorded since the last commit, or none of them. Until this returns, no message
+    /// accepted since then survives the end of the process.
     ///
     /// # Errors
-    /// If the file can't be written. What was recorded stays pending; a process that reads the log finds nothing of it.
+    /// If the file can't be written. The changes stay pending; a process that reads the log finds none of
+    /// them.
     pub fn commit(&mut self) -> io::Result<()> {
         if self.pending.is_empty() {
             return Ok(());
         }
-        if self.has_torn_tail && !self.cut_torn_tail() {
-            // The log can't be cut: a fresh one takes its place.
+        if self.has_torn_tail && !self.truncate_torn_tail() {
+            // The log can't be truncated: a new file replaces it.
             return self.compact();
         }
         if !self.fits(0, 0) {
             return self.compact();
         }
-        let (salt, head) = self.log_head();
-        let offset = self.written_bytes + head.len() as u64;
-        let bytes = [head, self.pending.encode(salt, offset)].concat();
+        let (salt, header) = self.log_header();
+        let offset = self.written_bytes + header.len() as u64;
+        let bytes = [header, self.pending.encode(salt, offset)].concat();
         if let Err(error) = self.file.write_all(&bytes) {
             self.has_torn_tail = true;
-            self.cut_torn_tail();
+            self.truncate_torn_tail();
             return Err(error);
         }
         self.salt = Some(salt);
@@ -226,76 +229,77 @@
         Ok(())
     }
 
-    /// The log's salt, and what has to stand in front of its first batch.
-    fn log_head(&self) -> (u32, Vec<u8>) {
+    /// Returns the log's salt, and the records to write in front of the next batch if the log has no salt
+    /// yet.
+    fn log_header(&self) -> (u32, Vec<u8>) {
         if let Some(salt) = self.salt {
             return (salt, Vec::new());
         }
         let salt = new_salt();
-        let mut head = Vec::new();
+        let mut header = Vec::new();
         if self.written_bytes == 0 {
-            head.extend(frame(&encode_format()));
+            header.extend(frame(&encode_format()));
         }
-        head.extend(encode_salt_record(salt));
-        (salt, head)
+        header.extend(encode_salt_record(salt));
+        (salt, header)
     }
 
-    /// Cuts off what follows the last whole record; false if that can't be done now. Written behind, a later record
-    /// could not be told from the rest of the torn one.
-    fn cut_torn_tail(&mut self) -> bool {
-        let cut = self.file.set_len(self.written_bytes);
-        if let Err(error) = &cut {
-            warn!("spool: a torn tail can't be cut off: {error}");
+    /// Truncates the file after the last complete record; returns false if that fails. A record written
+    /// behind torn data could not be distinguished from the rest of that data.
+    fn truncate_torn_tail(&mut self) -> bool {
+        let truncated = self.file.set_len(self.written_bytes);
+        if let Err(error) = &truncated {
+            warn!("spool: can't truncate a torn tail: {error}");
         }
-        self.has_torn_tail = cut.is_err();
-        cut.is_ok()
+        self.has_torn_tail = truncated.is_err();
+        truncated.is_ok()
     }
 
-    /// The bytes that the log takes on disk now, in whole blocks.
+    /// Returns the disk space that the log takes now, in bytes, rounded up to whole blocks.
     pub fn size(&self) -> u64 {
-        whole_blocks(self.written_bytes)
+        round_up_to_blocks(self.written_bytes)
     }
 
     fn append(&mut self, payload: &[u8]) {
         self.pending.push(payload);
     }
 
-    /// Takes up one record of the log. Records of messages that are over change nothing.
+    /// Applies one record of the log. Records of finished messages have no effect.
     fn apply(&mut self, record: Record) {
         match record {
             Record::Format(_) | Record::Salt(_) | Record::Batch(_) => {}
             Record::Accepted { number, message } => {
-                self.note_used(number);
+                self.mark_used(number);
                 self.messages.insert(number, StoredMessage::new(message));
             }
             Record::Attempt { number, attempt } => {
-                self.note_used(number);
+                self.mark_used(number);
                 if let Some(message) = self.messages.get_mut(&number) {
                     message.attempts.push(attempt);
                 }
             }
-            Record::NotRun { number } => {
-                self.note_used(number);
+            Record::NotProcessed { number } => {
+                self.mark_used(number);
                 let message = self.messages.get_mut(&number);
                 if let Some(attempt) = message.and_then(|message| message.attempts.last_mut()) {
                     attempt.may_have_run = false;
                 }
             }
             Record::Outcome { number, outcome } => {
-                self.note_used(number);
+                self.mark_used(number);
                 if let Some(message) = self.messages.get_mut(&number) {
                     message.pending_outcome = Some(outcome);
                 }
             }
             Record::Removed { number } => {
-                self.note_used(number);
+                self.mark_used(number);
                 self.messages.remove(&number);
             }
         }
     }
 
-    /// Guards against a number used twice.
-    fn note_used(&mut self, number: u64) {
+    /// Advances the next number beyond a number in the log. Guards against a number used twice.
+    fn mark_used(&mut self, number: u64) {
         self.next_number = self.next_number.max(number + 1);
     }
 }
--- a/crates/spool/src/message.rs
+++ b/crates/spool/src/message.rs
@@ -1,51 +1,51 @@
-//! What the spool holds of a message.
+//! The data that the spool holds for a message.
 
 /// A message as it was submitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptedMessage {
-    /// The client's id of the message.
+    /// The id that the client gave the message.
     pub id: Vec<u8>,
-    /// Messages of one key may have to be delivered in order; 0 for none.
+    /// The ordering key, 0 for none. Messages of one key may have to be delivered in order.
     pub key: u64,
-    /// The fields that the client sent with the message, as it wrote them.
+    /// The fields that the client sent with the message, exactly as sent.
     pub metadata: String,
-    /// When the message expires, Unix time in milliseconds.
+    /// Time at which the message expires, Unix time in milliseconds.
     pub deadline: u64,
     /// The bytes to deliver.
     pub body: Vec<u8>,
-    /// When it was accepted, Unix time in microseconds; 0 if the log is older than that field. Orders the
-    /// messages of one key across two processes that accepted them side by side.
+    /// Time of acceptance, Unix time in microseconds; 0 if the log is older than this field. Orders the
+    /// messages of one key across two processes that accepted messages at the same time.
     pub accepted_at_us: u64,
 }
 
 /// An attempt to deliver a message, recorded before its first byte is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptRecord {
-    /// The zone of the endpoint that it went to.
+    /// The zone of the endpoint to which the attempt was sent.
     pub zone: String,
-    /// When it was sent, Unix time in milliseconds.
+    /// Time at which it was sent, Unix time in milliseconds.
     pub at: u64,
-    /// False once it is proven that the endpoint did not process it.
+    /// False once it is proven that the endpoint did not process the attempt.
     pub may_have_run: bool,
 }
 
-/// A final outcome that nobody has been notified of yet.
+/// A final outcome whose notification is still pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalOutcome {
     /// The message was not delivered.
     Failed,
-    /// The message was rejected; with the Retry-After in milliseconds.
+    /// The message was rejected, with this Retry-After in milliseconds.
     Rejected(u64),
 }
 
-/// A message that is not over.
+/// A message that the spool still holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredMessage {
     /// The message itself.
     pub accepted: AcceptedMessage,
     /// Its attempts so far, the earliest first.
     pub attempts: Vec<AttemptRecord>,
-    /// Its final outcome, where the notification of it is still pending.
+    /// Its final outcome, if the notification of it is pending.
     pub pending_outcome: Option<FinalOutcome>,
 }
 
--- a/crates/spool/src/record.rs
+++ b/crates/spool/src/record.rs
@@ -1,45 +1,48 @@
-//! Records of the log as bytes. A record is framed by its length and checksum; its payload is a tag, the number
-//! of a message, and what the tag adds. All numbers are little-endian. Opens no file.
+//! Encoding of the log's records. A record is framed by its length and checksum; its payload is a tag, the
+//! number of a message, and fields that depend on the tag. All numbers are little-endian. No I/O.
 
 use crate::message::{AcceptedMessage, AttemptRecord, FinalOutcome};
 
-/// The format of the log. Logs without a format record are of format 0, which differs in that alone; format 1
-/// has no time of acceptance in its messages, which format 2 appends to each.
+/// Format of the logs that this program writes. Format 0 has no format record, which format 1 added. Format 2
+/// appends the time of acceptance to each message.
 pub(crate) const FORMAT: u64 = 2;
-/// Bytes of a frame before its payload: length and checksum.
+/// Size in bytes of a frame's header: length and checksum.
 const FRAME_HEADER_BYTES: usize = 8;
-/// No record is larger: guards against reading a torn length.
+/// Largest valid payload size in bytes. Guards against a torn length field.
 const MAX_RECORD_BYTES: usize = 1 << 20;
-/// Bytes of a record without text: frame, tag, number, and at most two more numbers.
+/// Upper bound of the size of a record without text: frame header, tag, number, and at most two more numbers.
 pub(crate) const MAX_SMALL_RECORD_BYTES: u64 = FRAME_HEADER_BYTES as u64 + 1 + 8 + 16;
 
 const TAG_FORMAT: u8 = b'V';
-/// Formats that stand for no format, but for a record of its own kind: earlier programs read these as the record of
-/// an older format, and go on.
+/// Format number that marks the head of a batch. Earlier programs read such a record as the format record of
+/// an older format and continue.
 const BATCH_MARK: u64 = 0;
+/// Format number that marks a salt record. Earlier programs read such a record as the format record of an
+/// older format and continue.
 const SALT_MARK: u64 = 1;
-/// Bytes of the payload of a format record, of a salt and of a batch: they tell the three apart.
+/// Payload size of a format record in bytes. Format records, salts and batch heads are distinguished by their
+/// size.
 const FORMAT_PAYLOAD_BYTES: usize = 9;
 const SALT_PAYLOAD_BYTES: usize = FORMAT_PAYLOAD_BYTES + 4;
 const BATCH_PAYLOAD_BYTES: usize = FORMAT_PAYLOAD_BYTES + 8;
-/// Bytes that a salt and the head of a batch take in the log.
+/// Bytes that a salt and the head of a batch add to a log.
 pub(crate) const BATCH_OVERHEAD_BYTES: usize =
     2 * FRAME_HEADER_BYTES + SALT_PAYLOAD_BYTES + BATCH_PAYLOAD_BYTES;
 const TAG_ACCEPTED: u8 = b'M';
 const TAG_ATTEMPT: u8 = b'L';
-const TAG_NOT_RUN: u8 = b'N';
+const TAG_NOT_PROCESSED: u8 = b'N';
 const TAG_OUTCOME: u8 = b'F';
 const TAG_REMOVED: u8 = b'E';
-/// Stands in the place of a Retry-After for the outcome `Failed`.
+/// Value written in place of a Retry-After for the outcome `Failed`.
 const FAILED: u64 = u64::MAX;
 
-/// A payload as it was read.
+/// A decoded payload.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Record {
     Format(u64),
-    /// A secret number of the log: heads of batches are checked with it, so that no client can forge one.
+    /// A secret number of the log. The heads of batches are checked with it, so that no client can forge one.
     Salt(u32),
-    /// The head of a batch: so many bytes of records follow that were committed together.
+    /// The head of a batch of records that were committed together.
     Batch(BatchHead),
     Accepted {
         number: u64,
@@ -49,7 +52,7 @@
         number: u64,
         attempt: AttemptRecord,
     },
-    NotRun {
+    NotProcessed {
         number: u64,
     },
     Outcome {
@@ -62,15 +65,15 @@
 }
 
 impl Record {
-    /// None if the payload is of a kind that this program does not know.
+    /// Decodes a payload; returns `None` if this program does not know its type.
     pub(crate) fn decode(payload: &[u8]) -> Option<Record> {
         let mut fields = Fields(payload);
         let tag = fields.take(1)?[0];
-        let number = fields.number()?;
+        let number = fields.u64()?;
         match (tag, number, payload.len()) {
-            (TAG_FORMAT, SALT_MARK, SALT_PAYLOAD_BYTES) => return Some(Record::Salt(fields.half_number()?)),
+            (TAG_FORMAT, SALT_MARK, SALT_PAYLOAD_BYTES) => return Some(Record::Salt(fields.u32()?)),
             (TAG_FORMAT, BATCH_MARK, BATCH_PAYLOAD_BYTES) => {
-                let head = BatchHead { length: fields.half_number()?, check: fields.half_number()? };
+                let head = BatchHead { length: fields.u32()?, check: fields.u32()? };
                 return Some(Record::Batch(head));
             }
             _ => {}
@@ -79,7 +82,7 @@
             TAG_FORMAT => Some(Record::Format(number)),
             TAG_ACCEPTED => Some(Record::Accepted { number, message: fields.message()? }),
             TAG_ATTEMPT => Some(Record::Attempt { number, attempt: fields.attempt()? }),
-            TAG_NOT_RUN => Some(Record::NotRun { number }),
+            TAG_NOT_PROCESSED => Some(Record::NotProcessed { number }),
             TAG_OUTCOME => Some(Record::Outcome { number, outcome: fields.outcome()? }),
             TAG_REMOVED => Some(Record::Removed { number }),
             _ => None,
@@ -90,20 +93,22 @@
 /// The head of a batch of records that were committed together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BatchHead {
-    /// Bytes of the records that follow.
+    /// Size in bytes of the records that follow.
     length: u32,
-    /// Proves that the head was written by this log's owner, at this place.
+    /// Checksum that proves that the log's owner wrote the head at this offset.
     check: u32,
 }
 
 impl BatchHead {
-    /// The head of a batch of `length` bytes whose own frame begins at `offset` in a log with this salt.
+    /// Returns the head of a batch of `length` bytes. The head's frame begins at `offset` in a log with this
+    /// salt.
     pub(crate) fn new(salt: u32, offset: u64, length: usize) -> BatchHead {
         let length = length as u32;
         BatchHead { length, check: BatchHead::checksum(salt, offset, length) }
     }
 
-    /// Bytes of the records that follow; none if the head does not belong to this place in a log with this salt.
+    /// Returns the size in bytes of the records that follow, or `None` if the head does not belong to this
+    /// offset in a log with this salt.
     pub(crate) fn length_at(self, salt: u32, offset: u64) -> Option<usize> {
         (self.check == BatchHead::checksum(salt, offset, self.length)).then_some(self.length as usize)
     }
@@ -117,7 +122,7 @@
     }
 }
 
-/// The payload, framed.
+/// Returns the framed payload.
 pub(crate) fn frame(payload: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(FRAME_HEADER_BYTES + payload.len());
     bytes.extend((payload.len() as u32).to_le_bytes());
@@ -126,18 +131,20 @@
     bytes
 }
 
-/// The first record's payload and the bytes that follow it; none if it is not whole.
+/// Splits off the first record: returns its payload and the bytes that follow, or `None` if the record is
+/// incomplete or its checksum is wrong.
 pub(crate) fn split_first_record(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let (payload, checksum, after) = split_first_frame(bytes)?;
     (crc32fast::hash(payload) == checksum).then_some((payload, after))
 }
 
-/// The bytes that follow the first record, which may be unreadable, if its length is of use.
+/// Returns the bytes that follow the first record, or `None` if its length is invalid. The record itself may
+/// be unreadable.
 pub(crate) fn skip_first_record(bytes: &[u8]) -> Option<&[u8]> {
     split_first_frame(bytes).map(|(_, _, after)| after)
 }
 
-/// The first frame: a payload, its checksum as written, the bytes that follow.
+/// Splits off the first frame: returns its payload, its checksum as written, and the bytes that follow.
 fn split_first_frame(bytes: &[u8]) -> Option<(&[u8], u32, &[u8])> {
     let (length, after) = bytes.split_first_chunk::<4>()?;
     let (checksum, after) = after.split_first_chunk::<4>()?;
@@ -150,24 +157,24 @@
 }
 
 pub(crate) fn encode_format() -> Vec<u8> {
-    encode_number(TAG_FORMAT, FORMAT)
+    encode_tag_and_number(TAG_FORMAT, FORMAT)
 }
 
 pub(crate) fn encode_salt(salt: u32) -> Vec<u8> {
-    let mut bytes = encode_number(TAG_FORMAT, SALT_MARK);
+    let mut bytes = encode_tag_and_number(TAG_FORMAT, SALT_MARK);
     bytes.extend(salt.to_le_bytes());
     bytes
 }
 
 pub(crate) fn encode_batch_head(head: BatchHead) -> Vec<u8> {
-    let mut bytes = encode_number(TAG_FORMAT, BATCH_MARK);
+    let mut bytes = encode_tag_and_number(TAG_FORMAT, BATCH_MARK);
     bytes.extend(head.length.to_le_bytes());
     bytes.extend(head.check.to_le_bytes());
     bytes
 }
 
 pub(crate) fn encode_accepted(number: u64, message: &AcceptedMessage) -> Vec<u8> {
-    let mut bytes = encode_number(TAG_ACCEPTED, number);
+    let mut bytes = encode_tag_and_number(TAG_ACCEPTED, number);
     bytes.extend(message.key.to_le_bytes());
     bytes.extend(message.deadline.to_le_bytes());
     append_text(&mut bytes, &message.id);
@@ -178,14 +185,14 @@
 }
 
 pub(crate) fn encode_attempt(number: u64, attempt: &AttemptRecord) -> Vec<u8> {
-    let mut bytes = encode_number(TAG_ATTEMPT, number);
+    let mut bytes = encode_tag_and_number(TAG_ATTEMPT, number);
     bytes.extend(attempt.at.to_le_bytes());
     append_text(&mut bytes, attempt.zone.as_bytes());
     bytes
 }
 
-pub(crate) fn encode_not_run(number: u64) -> Vec<u8> {
-    encode_number(TAG_NOT_RUN, number)
+pub(crate) fn encode_not_processed(number: u64) -> Vec<u8> {
+    encode_tag_and_number(TAG_NOT_PROCESSED, number)
 }
 
 pub(crate) fn encode_outcome(number: u64, outcome: FinalOutcome) -> Vec<u8> {
@@ -193,16 +200,16 @@
         FinalOutcome::Failed => FAILED,
         FinalOutcome::Rejected(retry_after_ms) => retry_after_ms,
     };
-    let mut bytes = encode_number(TAG_OUTCOME, number);
+    let mut bytes = encode_tag_and_number(TAG_OUTCOME, number);
     bytes.extend(retry_after_ms.to_le_bytes());
     bytes
 }
 
 pub(crate) fn encode_removed(number: u64) -> Vec<u8> {
-    encode_number(TAG_REMOVED, number)
+    encode_tag_and_number(TAG_REMOVED, number)
 }
 
-fn encode_number(tag: u8, number: u64) -> Vec<u8> {
+fn encode_tag_and_number(tag: u8, number: u64) -> Vec<u8> {
     let mut bytes = vec![tag];
     bytes.extend(number.to_le_bytes());
     bytes
@@ -213,26 +220,26 @@
     bytes.extend(text);
 }
 
-/// What is left to read of a payload.
+/// The part of a payload that is not decoded yet.
 struct Fields<'a>(&'a [u8]);
 
 impl<'a> Fields<'a> {
     fn take(&mut self, count: usize) -> Option<&'a [u8]> {
-        let (taken, left) = self.0.split_at_checked(count)?;
-        self.0 = left;
+        let (taken, rest) = self.0.split_at_checked(count)?;
+        self.0 = rest;
         Some(taken)
     }
 
-    fn number(&mut self) -> Option<u64> {
+    fn u64(&mut self) -> Option<u64> {
         Some(u64::from_le_bytes(self.take(8)?.try_into().ok()?))
     }
 
-    fn half_number(&mut self) -> Option<u32> {
+    fn u32(&mut self) -> Option<u32> {
         Some(u32::from_le_bytes(self.take(4)?.try_into().ok()?))
     }
 
     fn text(&mut self) -> Option<&'a [u8]> {
-        let length = self.half_number()?;
+        let length = self.u32()?;
         self.take(length as usize)
     }
 
@@ -241,24 +248,24 @@
     }
 
     fn message(&mut self) -> Option<AcceptedMessage> {
-        let key = self.number()?;
-        let deadline = self.number()?;
+        let key = self.u64()?;
+        let deadline = self.u64()?;
         let id = self.text()?.to_vec();
         let metadata = self.string()?;
         let body = self.text()?.to_vec();
-        // Format 1 ends here.
-        let accepted_at_us = if self.0.is_empty() { 0 } else { self.number()? };
+        // Messages of formats 0 and 1 end here.
+        let accepted_at_us = if self.0.is_empty() { 0 } else { self.u64()? };
         Some(AcceptedMessage { id, key, metadata, deadline, body, accepted_at_us })
     }
 
     fn attempt(&mut self) -> Option<AttemptRecord> {
-        let at = self.number()?;
+        let at = self.u64()?;
         let zone = self.string()?;
         Some(AttemptRecord { zone, at, may_have_run: true })
     }
 
     fn outcome(&mut self) -> Option<FinalOutcome> {
-        match self.number()? {
+        match self.u64()? {
             FAILED => Some(FinalOutcome::Failed),
             retry_after_ms => Some(FinalOutcome::Rejected(retry_after_ms)),
         }
--- a/crates/spool/src/record_tests.rs
+++ b/crates/spool/src/record_tests.rs
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn every_record_is_decoded_as_it_was_encoded() {
+fn records_round_trip() {
     let attempt = AttemptRecord { zone: "north".into(), at: 77, may_have_run: true };
     for (payload, expected) in [
         (encode_format(), Record::Format(FORMAT)),
         (encode_accepted(1, &message()), Record::Accepted { number: 1, message: message() }),
         (encode_attempt(2, &attempt), Record::Attempt { number: 2, attempt }),
-        (encode_not_run(3), Record::NotRun { number: 3 }),
+        (encode_not_processed(3), Record::NotProcessed { number: 3 }),
         (
             encode_outcome(4, FinalOutcome::Failed),
             Record::Outcome { number: 4, outcome: FinalOutcome::Failed },
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn a_payload_cut_short_or_of_an_unknown_tag_is_not_decoded() {
+fn truncated_payload_or_unknown_tag_is_not_decoded() {
     let payload = encode_accepted(1, &message());
-    let without_time = payload.len() - 8;
-    for cut in (0..payload.len()).filter(|cut| *cut != without_time) {
+    let without_acceptance_time = payload.len() - 8;
+    for cut in (0..payload.len()).filter(|cut| *cut != without_acceptance_time) {
         assert_eq!(Record::decode(&payload[..cut]), None, "cut at {cut}");
     }
     assert_eq!(Record::decode(b"Q12345678"), None);
--- a/crates/spool/src/replay.rs
+++ b/crates/spool/src/replay.rs
@@ -1,43 +1,43 @@
-//! Reads a log back: which records stand in it, where what is whole ends.
+//! Reads a log back: its records, and the length of its complete part.
 //!
-//! Records that were committed together count together or not at all: a write that was cut short leaves no part of
-//! them. An unreadable record costs itself only: what follows it is looked for. In a log with a salt that is the next
-//! head of a batch, which no client can forge by what it submits; in older logs, and in the part that a compaction
-//! wrote, the next record.
+//! Records that were committed together are read together or not at all: a truncated batch is dropped as a
+//! whole. An unreadable record affects only itself: reading continues at the next readable position. In a log
+//! with a salt that is the next valid head of a batch, which no client can forge by the content of a message.
+//! In older logs, and in the part that a compaction wrote, it is the next record.
 
 use crate::error::SpoolError;
 use crate::record::{FORMAT, Record, skip_first_record, split_first_record};
 
-/// What a log holds.
+/// The content of a log.
 #[derive(Debug, Default)]
 pub(crate) struct ReplayedLog {
-    /// The records, in order; those that only structure the log are left out.
+    /// The records, in order, without those that only structure the log (format, salt, batch head).
     pub(crate) records: Vec<Record>,
-    /// Where what is whole ends, in bytes.
-    pub(crate) whole_bytes: usize,
+    /// Length in bytes of the complete part of the log.
+    pub(crate) complete_bytes: usize,
     /// The log's salt.
     pub(crate) salt: Option<u32>,
-    /// Bytes in front of that end that can't be read.
+    /// Number of bytes of the complete part that can't be read.
     pub(crate) skipped_bytes: usize,
 }
 
 /// Reads a log.
 ///
 /// # Errors
-/// If it holds a whole record that this program does not know, or is of a newer format.
+/// If the log holds a complete record of unknown type, or is of a newer format.
 pub(crate) fn replay(bytes: &[u8]) -> Result<ReplayedLog, SpoolError> {
     let mut log = ReplayedLog::default();
     let mut offset = 0;
     while offset < bytes.len() {
         let Some((payload, after)) = split_first_record(&bytes[offset..]) else {
-            let Some(next) = next_readable(bytes, offset + 1, log.salt) else { break };
+            let Some(next) = next_readable_offset(bytes, offset + 1, log.salt) else { break };
             log.skipped_bytes += next - offset;
             offset = next;
             continue;
         };
         let next = bytes.len() - after.len();
-        // Guards against the log of a newer program: what is whole and can't be read must not be dropped as if it
-        // were a torn tail.
+        // Guards against the log of a newer program: a complete record that can't be read must not be dropped
+        // like a torn tail.
         match Record::decode(payload) {
             None => return Err(SpoolError::UnknownRecord { offset }),
             Some(Record::Format(format)) if format > FORMAT => {
@@ -54,7 +54,7 @@
                     offset = next;
                     continue;
                 };
-                // Cut short: none of what was written together counts.
+                // The batch is truncated: all of its records are dropped.
                 let Some(batch) = after.get(..length) else { break };
                 log.skipped_bytes += read_batch(batch, &mut log.records);
                 offset = next + length;
@@ -65,11 +65,11 @@
             }
         }
     }
-    log.whole_bytes = offset;
+    log.complete_bytes = offset;
     Ok(log)
 }
 
-/// Reads the records of a batch; how many bytes of it can't be read.
+/// Reads the records of a batch; returns the number of bytes that can't be read.
 fn read_batch(batch: &[u8], records: &mut Vec<Record>) -> usize {
     let mut rest = batch;
     let mut skipped = 0;
@@ -84,8 +84,9 @@
     skipped
 }
 
-/// Where the next thing that can be read begins, from `from` on.
-fn next_readable(bytes: &[u8], from: usize, salt: Option<u32>) -> Option<usize> {
+/// Returns the offset, from `from` on, of the next valid batch head (in a log with a salt) or record (without
+/// one).
+fn next_readable_offset(bytes: &[u8], from: usize, salt: Option<u32>) -> Option<usize> {
     (from..bytes.len()).find(|offset| {
         let record = split_first_record(&bytes[*offset..]).and_then(|(payload, _)| Record::decode(payload));
         match (record, salt) {
--- a/crates/spool/tests/spool.rs
+++ b/crates/spool/tests/spool.rs
@@ -1,4 +1,4 @@
-//! The spool against torn tails, full disks and restarts.
+//! Recovery of the spool after torn writes, unreadable bytes and restarts, and its size limit.
 
 use mountshift_spool::{AcceptedMessage, AttemptRecord, FinalOutcome, Spool, StoredMessage};
 use std::collections::BTreeMap;
@@ -27,14 +27,14 @@
     AttemptRecord { zone: "north".into(), at, may_have_run }
 }
 
-/// What all files in the folder take, in whole blocks.
-fn disk(dir: &Path) -> u64 {
+/// Returns the disk space that all files in the folder take, in bytes of whole blocks.
+fn disk_bytes(dir: &Path) -> u64 {
     let files = fs::read_dir(dir).expect("a folder").flatten();
     files.map(|f| f.metadata().expect("a file").len().div_ceil(512) * 512).sum()
 }
 
 #[test]
-fn messages_are_read_back_in_the_order_accepted() {
+fn messages_are_read_back_in_the_order_of_acceptance() {
     let dir = tempfile::tempdir().expect("a folder");
     let mut spool = open(dir.path(), 1 << 20);
     let n: Vec<u64> =
@@ -46,7 +46,7 @@
     spool.record_outcome(n[3], FinalOutcome::Failed);
     spool.remove(n[2]);
     spool.commit().expect("written");
-    drop(spool); // as when the process is killed: nothing is written at the end
+    drop(spool); // as if the process was killed: closing writes nothing
     let mut spool = open(dir.path(), 1 << 20);
     let kept = |id, attempts, pending_outcome| StoredMessage {
         accepted: accepted(id, 300),
@@ -59,11 +59,11 @@
         (n[3], kept("d", vec![], Some(FinalOutcome::Failed))),
     ]);
     assert_eq!(*spool.messages(), expected);
-    assert!(spool.accept(accepted("e", 1)).expect("room") > n[3], "a number is used twice");
+    assert!(spool.accept(accepted("e", 1)).expect("room") > n[3], "a message number is reused");
 }
 
 #[test]
-fn what_is_not_committed_is_not_there() {
+fn uncommitted_messages_are_not_stored() {
     let dir = tempfile::tempdir().expect("a folder");
     let mut spool = open(dir.path(), 1 << 20);
     spool.accept(accepted("a", 10)).expect("room");
@@ -72,10 +72,10 @@
     assert_eq!(open(dir.path(), 1 << 20).messages().len(), 1);
 }
 
-// A message accepted in a step whose commit fails is rejected: a log written anew in that step must not hold it, or a kill
-// brings it back.
+// A message is rejected if the commit of its step fails. If a compaction in that step had written the
+// message, it would be restored after a kill although it was rejected.
 #[test]
-fn a_log_written_anew_before_the_commit_holds_nothing_that_is_not_committed() {
+fn compaction_before_the_commit_stores_no_uncommitted_message() {
     const LIMIT: u64 = 24 * 1024;
     let dir = tempfile::tempdir().expect("a folder");
     let mut spool = open(dir.path(), LIMIT);
@@ -86,7 +86,7 @@
         let numbers = [&first, &second].map(|id| spool.accept(accepted(id, 300)).expect("room"));
         compactions += usize::from(spool.size() < size_before);
         let found = ids(&open(dir.path(), LIMIT));
-        assert!(found.is_empty(), "{found:?} before the commit {n}");
+        assert!(found.is_empty(), "{found:?} before commit {n}");
         spool.commit().expect("written");
         assert_eq!(ids(&open(dir.path(), LIMIT)), [first, second]);
         for number in numbers {
@@ -97,7 +97,7 @@
     assert!(compactions > 3, "{compactions}");
 }
 
-/// Commits the messages a, b and c one by one; where each commit ends in the log.
+/// Commits the messages a, b and c one by one; returns the offset in the log at which each commit ends.
 fn write_three_commits(dir: &Path) -> Vec<usize> {
     let mut spool = open(dir, 1 << 20);
     let mut ends = Vec::new();
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_log_cut_anywhere_keeps_all_whole_records() {
+fn truncated_log_keeps_all_complete_commits() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("spool.log");
     let ends = write_three_commits(dir.path());
@@ -120,46 +120,46 @@
         let mut spool = open(dir.path(), 1 << 20);
         let expected = ends.iter().filter(|end| **end <= cut).count();
         assert_eq!(spool.messages().len(), expected, "cut at {cut}");
-        // What is appended after a dropped tail can be read.
+        // Records appended after a dropped tail can be read.
         spool.accept(accepted("z", 5)).expect("room");
         spool.commit().expect("written");
         assert_eq!(open(dir.path(), 1 << 20).messages().len(), expected + 1, "cut at {cut}");
     }
 }
 
-/// The ids of the messages, in order.
+/// Returns the ids of the messages, in order.
 fn ids(spool: &Spool) -> Vec<String> {
     let ids = spool.messages().values().map(|m| String::from_utf8_lossy(&m.accepted.id).into_owned());
     ids.collect()
 }
 
 #[test]
-fn an_unreadable_byte_costs_the_message_that_it_belongs_to_and_no_other() {
+fn corrupted_byte_affects_only_the_message_that_it_belongs_to() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("spool.log");
     let ends = write_three_commits(dir.path());
     let whole = fs::read(&path).expect("a log");
     for at in 0..whole.len() {
-        let mut bad = whole.clone();
-        bad[at] ^= 0x55;
-        fs::write(&path, &bad).expect("a log");
+        let mut corrupted_log = whole.clone();
+        corrupted_log[at] ^= 0x55;
+        fs::write(&path, &corrupted_log).expect("a log");
         let mut spool = open(dir.path(), 1 << 20);
-        let hit = ends.iter().filter(|end| **end <= at).count();
+        let corrupted_index = ends.iter().filter(|end| **end <= at).count();
         let mut others = vec!["a", "b", "c"];
-        others.remove(hit);
+        others.remove(corrupted_index);
         let read = ids(&spool);
         let read_others: Vec<&String> = read.iter().filter(|id| others.contains(&id.as_str())).collect();
-        assert_eq!(read_others, others, "flipped at {at}");
-        // What is appended behind it can be read.
+        assert_eq!(read_others, others, "corrupted at {at}");
+        // Records appended after the corrupted byte can be read.
         spool.accept(accepted("z", 5)).expect("room");
         spool.commit().expect("written");
         let again = ids(&open(dir.path(), 1 << 20));
-        assert_eq!(again.len(), read.len() + 1, "flipped at {at}");
+        assert_eq!(again.len(), read.len() + 1, "corrupted at {at}");
     }
 }
 
 #[test]
-fn what_was_committed_together_is_found_together_or_not_at_all() {
+fn messages_committed_together_are_read_together_or_not_at_all() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("spool.log");
     let mut spool = open(dir.path(), 1 << 20);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_torn_message_whose_body_looks_like_records_brings_none_of_them() {
+fn torn_message_whose_body_contains_records_adds_no_records() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("spool.log");
     let mut spool = open(dir.path(), 1 << 20);
@@ -197,14 +197,14 @@
     }
 }
 
-/// A record as the log frames it.
+/// Returns the payload framed as in the log.
 fn framed(payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() as u32).to_le_bytes();
     [&length[..], &crc32fast::hash(payload).to_le_bytes(), payload].concat()
 }
 
 #[test]
-fn a_log_of_another_format_is_refused_by_name_and_left_as_it_is() {
+fn log_of_an_unknown_format_is_rejected_and_left_unchanged() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("spool.log");
     let mut spool = open(dir.path(), 1 << 20);
@@ -213,20 +213,20 @@
     let log = fs::read(&path).expect("a log");
     let head = framed(&[&b"V"[..], &2u64.to_le_bytes()].concat());
     assert!(log.starts_with(&head));
-    let refused = |bytes: Vec<u8>| {
+    let rejection = |bytes: Vec<u8>| {
         fs::write(&path, &bytes).expect("a log");
-        let why = Spool::open(dir.path(), 1 << 20, MAX_ATTEMPTS, 8).err().expect("it is refused").to_string();
-        assert_eq!(fs::read(&path).expect("a log"), bytes, "it is left as it is");
-        why
+        let error = Spool::open(dir.path(), 1 << 20, MAX_ATTEMPTS, 8).err().expect("an error").to_string();
+        assert_eq!(fs::read(&path).expect("a log"), bytes, "the log is left unchanged");
+        error
     };
     let newer = framed(&[&b"V"[..], &3u64.to_le_bytes()].concat());
-    let why = refused([newer, log[head.len()..].to_vec()].concat());
-    assert_eq!(why, "spool.log, byte 0: it is of format 3; this program reads formats up to 2");
+    let error = rejection([newer, log[head.len()..].to_vec()].concat());
+    assert_eq!(error, "spool.log, byte 0: unsupported format 3; this program reads formats up to 2");
     let unknown = framed(&[&b"Q"[..], &9u64.to_le_bytes()].concat());
-    let why = refused([log.clone(), unknown, framed(b"E12345678")].concat());
+    let error = rejection([log.clone(), unknown, framed(b"E12345678")].concat());
     let at = log.len();
-    assert_eq!(why, format!("spool.log, byte {at}: a record of a kind that this program does not know"));
-    // A log from before there were formats is read, and gets a format record when it is next written anew.
+    assert_eq!(error, format!("spool.log, byte {at}: record of unknown type"));
+    // A log of format 0, which has no format record, is read; the next compaction adds a format record.
     fs::write(&path, &log[head.len()..]).expect("a log");
     let mut old = open(dir.path(), 4_000);
     assert_eq!(old.messages().len(), 1);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn what_an_older_version_appended_behind_a_torn_record_is_read() {
+fn records_appended_by_an_older_version_after_a_torn_record_are_read() {
     let dir = tempfile::tempdir().expect("a folder");
     let message = |number: u64, id: &[u8]| {
         let mut payload = vec![b'M'];
@@ -266,49 +266,49 @@
 fn both_files_stay_within_the_limit_and_a_full_spool_accepts_nothing() {
     let (dir, limit) = (tempfile::tempdir().expect("a folder"), 40_000);
     let mut spool = open(dir.path(), limit);
-    let (mut held, mut full) = (Vec::new(), 0);
+    let (mut accepted_numbers, mut rejected_count) = (Vec::new(), 0);
     for i in 0..3_000u64 {
         match spool.accept(accepted(&i.to_string(), (i % 900) as usize)) {
-            Some(n) => held.push(n),
-            None => full += 1,
+            Some(n) => accepted_numbers.push(n),
+            None => rejected_count += 1,
         }
-        // Every attempt and outcome of what was accepted has room, however full it is.
-        for n in held.iter().rev().take(1) {
+        // There is space for every attempt and outcome of an accepted message, however full the spool is.
+        for n in accepted_numbers.iter().rev().take(1) {
             (0..MAX_ATTEMPTS).for_each(|at| spool.record_attempt(*n, "northern", at));
         }
-        if held.len() > 60 || (full > 0 && i % 3 == 0 && !held.is_empty()) {
-            spool.remove(held.remove(0));
+        if accepted_numbers.len() > 60 || (rejected_count > 0 && i % 3 == 0 && !accepted_numbers.is_empty()) {
+            spool.remove(accepted_numbers.remove(0));
         }
         spool.commit().expect("written");
-        assert!(disk(dir.path()) <= limit, "{} at {i}", disk(dir.path()));
+        assert!(disk_bytes(dir.path()) <= limit, "{} at {i}", disk_bytes(dir.path()));
         if i % 500 == 0 {
             assert_eq!(open(dir.path(), limit).messages(), spool.messages(), "at {i}");
         }
     }
-    assert!(full > 0 && full < 2_000, "{full} not accepted");
+    assert!(rejected_count > 0 && rejected_count < 2_000, "{rejected_count} not accepted");
 }
 
 #[test]
-fn the_old_and_the_new_file_fit_together() {
-    // Guards against a fresh file that is written while the old one nearly fills the limit.
+fn old_and_new_file_together_stay_within_the_limit() {
+    // Guards against writing the new file while the old one nearly fills the limit.
     let (dir, limit) = (tempfile::tempdir().expect("a folder"), 40_000);
     let mut spool = open(dir.path(), limit);
     for i in 0..500u64 {
         let n = spool.accept(accepted(&i.to_string(), 700)).expect("room");
         spool.commit().expect("written");
-        let live: u64 = spool.messages().values().map(|k| k.accepted.body.len() as u64).sum();
-        assert!(spool.size() + live <= limit, "{} and {live} at {i}", spool.size());
+        let body_bytes: u64 = spool.messages().values().map(|k| k.accepted.body.len() as u64).sum();
+        assert!(spool.size() + body_bytes <= limit, "{} and {body_bytes} at {i}", spool.size());
         if spool.messages().len() > 10 {
             spool.remove(n - 10);
         }
     }
-    fs::write(dir.path().join("spool.new"), vec![0; 30_000]).expect("left over");
+    fs::write(dir.path().join("spool.new"), vec![0; 30_000]).expect("a leftover file");
     let again = open(dir.path(), limit);
-    assert!(disk(dir.path()) <= limit && again.messages().len() >= 9, "{}", disk(dir.path()));
+    assert!(disk_bytes(dir.path()) <= limit && again.messages().len() >= 9, "{}", disk_bytes(dir.path()));
 }
 
 #[test]
-fn a_log_of_format_1_is_read_with_no_time_of_acceptance() {
+fn log_of_format_1_is_read_without_times_of_acceptance() {
     let dir = tempfile::tempdir().expect("a folder");
     let mut message = vec![b'M'];
     for number in [1u64, 5, 1_000] {
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn all_messages_are_replaced_in_the_order_given_and_numbered_anew() {
+fn replace_all_keeps_the_given_order_and_renumbers_messages() {
     let dir = tempfile::tempdir().expect("a folder");
     let mut spool = open(dir.path(), 1 << 20);
     for id in ["a", "b", "c"] {
@@ -343,14 +343,14 @@
     });
     assert!(spool.replace_all(order.clone()).expect("written").is_empty());
     let ids = |s: &Spool| s.messages().iter().map(|(n, k)| (*n, k.accepted.id.clone())).collect::<Vec<_>>();
-    let wanted: Vec<(u64, Vec<u8>)> =
+    let expected: Vec<(u64, Vec<u8>)> =
         [(1, "c"), (2, "b"), (3, "a"), (4, "d")].iter().map(|(n, id)| (*n, id.as_bytes().to_vec())).collect();
-    assert_eq!(ids(&spool), wanted);
+    assert_eq!(ids(&spool), expected);
     let again = open(dir.path(), 1 << 20);
-    assert_eq!(ids(&again), wanted);
+    assert_eq!(ids(&again), expected);
     assert_eq!(again.messages()[&2].attempts, vec![attempt(77, true)]);
     assert_eq!(again.messages()[&4].pending_outcome, Some(FinalOutcome::Failed));
-    // What does not fit comes back and is not in the log.
+    // Messages that don't fit are returned and are not in the log.
     let other = tempfile::tempdir().expect("a folder");
     let mut small = open(other.path(), 6_000);
     let many: Vec<StoredMessage> = (0..20)
@@ -360,7 +360,7 @@
             pending_outcome: None,
         })
         .collect();
-    let left = small.replace_all(many).expect("written");
-    assert!(!left.is_empty() && small.messages().len() + left.len() == 20);
-    assert_eq!(left[0].accepted.id, small.messages().len().to_string().into_bytes());
+    let not_stored = small.replace_all(many).expect("written");
+    assert!(!not_stored.is_empty() && small.messages().len() + not_stored.len() == 20);
+    assert_eq!(not_stored[0].accepted.id, small.messages().len().to_string().into_bytes());
 }
--- a/crates/spool/tests/stored_data.rs
+++ b/crates/spool/tests/stored_data.rs
@@ -1,4 +1,4 @@
-//! The spool that the version before (commit 64fb5b4) left is read, and written back as that version would.
+//! Compatibility with the spool of the previous version (commit 64fb5b4), in both directions.
 
 use mountshift_spool::{AcceptedMessage, AttemptRecord, FinalOutcome, Spool, StoredMessage};
 use std::fs;
@@ -8,11 +8,11 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../relay/tests/fixtures/64fb5b4").join(name)
 }
 
-/// A copy of the fixture, opened; opening may write.
+/// Opens a copy of the fixture, because opening may write.
 fn open_copy(name: &str) -> (tempfile::TempDir, Spool) {
     let dir = tempfile::tempdir().expect("a folder");
     fs::copy(fixture(name), dir.path().join("spool.log")).expect("a copy");
-    let spool = Spool::open(dir.path(), 1 << 20, 8, 5).expect("a spool of the version before");
+    let spool = Spool::open(dir.path(), 1 << 20, 8, 5).expect("a spool of the previous version");
     (dir, spool)
 }
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_active_spool_of_the_version_before_is_read_in_full() {
+fn reads_the_complete_spool_of_an_active_process_of_the_previous_version() {
     let (_dir, spool) = open_copy("spool.log");
     let messages: Vec<(u64, StoredMessage)> = spool.messages().iter().map(|(n, m)| (*n, m.clone())).collect();
     let expected = [
@@ -63,16 +63,17 @@
 }
 
 #[test]
-fn the_spool_of_a_successor_of_the_version_before_is_read_in_full() {
+fn reads_the_complete_spool_of_a_successor_of_the_previous_version() {
     let (_dir, spool) = open_copy("next/spool.log");
     let expected =
         stored("held-by-successor", 0x77, "c=once,d=19000,dest=12", 1_796_189_836_107, 1_796_189_817_108_307);
     assert_eq!(spool.messages().iter().collect::<Vec<_>>(), [(&1, &expected)]);
 }
 
-// Compaction writes every kind of record: so the version before can read what this one writes.
+// Compaction writes records of every type, so equal bytes show that the previous version can read the spools
+// of this one.
 #[test]
-fn compaction_writes_the_bytes_that_the_version_before_wrote() {
+fn compaction_writes_the_same_bytes_as_the_previous_version() {
     for name in ["spool.log", "next/spool.log"] {
         let (dir, mut spool) = open_copy(name);
         let messages: Vec<StoredMessage> = spool.messages().values().cloned().collect();
