--- a/crates/discovery/src/drain_record_tests.rs
+++ b/crates/discovery/src/drain_record_tests.rs
@@ -17,7 +17,7 @@
 
 use Phase::{Draining, Gone, Ready};
 
-/// A record of `x`, listed as draining at revision 7 of A.
+/// Returns a record in which `x` was listed as draining at revision 7 of A.
 fn drained_x() -> DrainRecord {
     let mut record = DrainRecord::default();
     assert_eq!(
@@ -29,24 +29,24 @@
 }
 
 #[test]
-fn a_drained_endpoint_stays_so_until_it_is_newly_listed() {
+fn drained_endpoint_stays_drained_until_a_newer_list_shows_it_as_ready() {
     for (source, revision, is_full, expected) in [
-        (A, 5, true, Draining),  // a stale whole list
+        (A, 5, true, Draining),  // a stale full list
         (A, 7, true, Draining),  // the same list again
         (A, 6, false, Draining), // a stale change
         (A, 8, false, Ready),    // a newer change
-        (A, 8, true, Ready),     // a newer whole list
-        (B, 3, true, Draining),  // another discovery's list, as old as it may be
-        (B, 90, true, Draining), // its revisions say nothing here
-        (B, 3, false, Ready),    // a change that it lists
+        (A, 8, true, Ready),     // a newer full list
+        (B, 3, true, Draining),  // a full list of another source, which may be old
+        (B, 90, true, Draining), // revisions of two sources can't be compared
+        (B, 3, false, Ready),    // a list of changes of another source
     ] {
-        let seen = apply(&mut drained_x(), &list(source, revision, is_full), &[entry("x", Ready)]);
-        assert_eq!(seen, [expected], "{source} {revision} {is_full}");
+        let phases = apply(&mut drained_x(), &list(source, revision, is_full), &[entry("x", Ready)]);
+        assert_eq!(phases, [expected], "{source} {revision} {is_full}");
     }
 }
 
 #[test]
-fn an_endpoint_that_started_since_serves_again() {
+fn endpoint_started_after_its_drain_is_ready() {
     let mut record = drained_x();
     let old = ListEntry { id: "x", phase: Ready, up_since_ms: 6_999 };
     assert_eq!(
@@ -62,21 +62,22 @@
 }
 
 #[test]
-fn a_whole_list_removes_what_it_leaves_out() {
+fn full_list_removes_missing_endpoints() {
     let mut record = drained_x();
     assert_eq!(apply(&mut record, &list(A, 8, true), &[entry("z", Ready)]), [Ready]);
-    // x stays as listed at 7, y is gone since 8: a list of before revives neither.
+    // x is draining since revision 7, y is removed since revision 8: an older list makes neither of them
+    // ready.
     assert_eq!(
         apply(&mut record, &list(A, 7, true), &[entry("x", Ready), entry("y", Ready)]),
         [Draining, Draining]
     );
-    // That list left z out, which came later; the changes since then name it again.
+    // The older list does not contain z, which was added later; a newer list of changes contains it again.
     assert_eq!(apply(&mut record, &list(A, 8, false), &[entry("z", Ready)]), [Ready]);
     assert_eq!(apply(&mut record, &list(A, 9, false), &[entry("y", Ready)]), [Ready]);
 }
 
 #[test]
-fn an_empty_whole_list_removes_every_endpoint() {
+fn empty_full_list_removes_every_endpoint() {
     let mut record = drained_x();
     assert_eq!(apply(&mut record, &list(A, 8, true), &[]), []);
     assert_eq!(apply(&mut record, &list(A, 7, false), &[entry("y", Ready)]), [Draining]);
@@ -84,22 +85,22 @@
 }
 
 #[test]
-fn the_first_time_counts_and_the_newest_revision_must_be_passed() {
+fn repeated_drain_keeps_the_first_time_and_takes_the_newest_revision() {
     let mut record = drained_x();
     assert_eq!(apply(&mut record, &list(A, 9, false), &[entry("x", Gone)]), [Gone]);
     assert_eq!(apply(&mut record, &list(A, 8, true), &[entry("x", Ready)]), [Draining]);
-    let since = ListEntry { id: "x", phase: Ready, up_since_ms: 8_000 };
-    assert_eq!(apply(&mut record, &list(A, 8, true), &[since]), [Ready]);
+    let restarted = ListEntry { id: "x", phase: Ready, up_since_ms: 8_000 };
+    assert_eq!(apply(&mut record, &list(A, 8, true), &[restarted]), [Ready]);
 }
 
 #[test]
-fn the_record_outlives_the_process() {
+fn record_is_restored_from_its_text() {
     let mut record = drained_x();
     let text = record.text_if_changed(10_000).expect("a change");
     assert_eq!(record.text_if_changed(10_000), None);
     let ParsedDrainRecord { record: mut again, unreadable_lines } = DrainRecord::from_text(&text);
     assert_eq!((again.len(), unreadable_lines), (1, 0));
-    // A start's list, as the earlier process had it first.
+    // The list at the start of a process may be as old as the first one of the earlier process.
     assert_eq!(
         apply(&mut again, &list(A, 5, true), &[entry("x", Ready), entry("y", Ready)]),
         [Draining, Ready]
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn unreadable_lines_are_left_out_one_by_one() {
+fn unreadable_lines_are_skipped_one_by_one() {
     let ParsedDrainRecord { record, unreadable_lines } =
         DrainRecord::from_text("mountshift leaving 1\nx 7000 7 a:1\nhalf 70\n\u{0}\u{0}\ny 8 8 b:1\n");
     assert_eq!((record.len(), unreadable_lines), (2, 2));
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn the_text_stays_within_its_limit_and_keeps_those_drained_last() {
+fn text_stays_within_its_limit_and_keeps_the_most_recent_drains() {
     let mut record = DrainRecord::default();
     for n in 0..5_000_u64 {
         let id = format!("s-{n:08x}");
@@ -137,9 +138,9 @@
     assert!(again.drains.contains_key("s-00001387") && !again.drains.contains_key("s-00000000"));
 }
 
-// The last start of an endpoint is told by discovery's clock; this relay's may be behind it.
+// The last start of an endpoint is measured by discovery's clock, and this relay's clock may be behind it.
 #[test]
-fn a_start_before_the_drain_does_not_end_it_where_another_clock_is_ahead() {
+fn start_before_the_drain_does_not_end_it_if_discoverys_clock_is_ahead() {
     const STARTED_MS: u64 = 9_000_000;
     let entry = |phase, up_since_ms| ListEntry { id: "x", phase, up_since_ms };
     for is_absent in [false, true] {
--- a/crates/discovery/src/fleet_tests.rs
+++ b/crates/discovery/src/fleet_tests.rs
@@ -1,102 +1,106 @@
-//! A model of one discovery that is short of capacity, and of many relays that come back at one moment. It takes
-//! polls in turn, each for as long as its capacity says; a poll answered later than `GIVE_UP_AFTER` after it was
-//! made is lost to its relay and was work all the same; a poll that would wait beyond `MAX_QUEUE` is rejected.
+//! A model of a discovery service that is short of capacity, and of many relays that start at the same time.
+//!
+//! Discovery serves polls in order, each for `service_time`. A poll that is answered later than
+//! `CLIENT_TIMEOUT` after it was sent fails for its relay but still costs discovery the service time. A poll
+//! that would wait longer than `MAX_QUEUE_WAIT` is rejected.
 
 use super::*;
 use crate::Jitter;
 
-const GIVE_UP_AFTER: Duration = Duration::from_secs(2);
-const MAX_QUEUE: Duration = Duration::from_secs(6);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_QUEUE_WAIT: Duration = Duration::from_secs(6);
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// When each relay has received its first list; none within `end`.
-fn received(
+/// Returns the time at which each relay receives its first list, or `None` if it does not receive one before
+/// `end`.
+fn first_list_times(
     schedule: PollSchedule,
     relays: u32,
-    each_takes: Duration,
+    service_time: Duration,
     end: Duration,
 ) -> Vec<Option<Duration>> {
     let mut jitters: Vec<Jitter> = (0..relays).map(|n| Jitter::new(u64::from(n))).collect();
     let mut failures = vec![0; relays as usize];
-    let mut received = vec![None; relays as usize];
+    let mut first_lists = vec![None; relays as usize];
     let first_polls =
         jitters.iter_mut().enumerate().map(|(n, jitter)| (schedule.initial_delay(jitter.sample()), n));
     let mut polls: std::collections::BTreeSet<(Duration, usize)> = first_polls.collect();
     let mut free_at = Duration::ZERO;
     while let Some((now, n)) = polls.pop_first().filter(|(at, _)| *at < end) {
-        let answered = free_at.max(now) + each_takes;
-        let rejected = answered > now + MAX_QUEUE;
-        if !rejected {
-            free_at = answered;
+        let answered_at = free_at.max(now) + service_time;
+        let is_rejected = answered_at > now + MAX_QUEUE_WAIT;
+        if !is_rejected {
+            free_at = answered_at;
         }
-        if answered <= now + GIVE_UP_AFTER {
-            received[n] = Some(answered);
+        if answered_at <= now + CLIENT_TIMEOUT {
+            first_lists[n] = Some(answered_at);
             continue;
         }
         failures[n] += 1;
-        let known_at = if rejected { now } else { now + GIVE_UP_AFTER };
-        polls.insert((known_at + schedule.retry_delay(failures[n], None, jitters[n].sample()), n));
+        let failed_at = if is_rejected { now } else { now + CLIENT_TIMEOUT };
+        polls.insert((failed_at + schedule.retry_delay(failures[n], None, jitters[n].sample()), n));
     }
-    received
+    first_lists
 }
 
-/// 350 relays restarted together against a discovery that bears each of them once in 6 s.
+/// 350 relays are restarted together; discovery can serve each of them once in 6 s.
 #[test]
-fn a_large_fleet_that_restarts_together_has_its_lists_within_the_poll_interval() {
+fn large_fleet_restarted_together_gets_its_lists_within_the_poll_interval() {
     for relays in [20, 100, 350] {
         let schedule = PollSchedule { relay_count: relays, poll_interval: POLL_INTERVAL };
-        let each = Duration::from_secs(6) / relays;
-        let received = received(schedule, relays, each, Duration::from_secs(60));
-        let last = received.iter().map(|at| at.unwrap_or(Duration::MAX)).max().unwrap();
+        let service_time = Duration::from_secs(6) / relays;
+        let times = first_list_times(schedule, relays, service_time, Duration::from_secs(60));
+        let last = times.iter().map(|at| at.unwrap_or(Duration::MAX)).max().unwrap();
         assert!(last <= POLL_INTERVAL, "{relays}: {last:?}");
     }
 }
 
-/// Where each poll takes more than half of what the interval allows, some come twice but all get their list.
+/// Discovery can serve each relay once in 9 s, which is almost the whole poll interval. Some relays poll
+/// twice, but all of them get their list.
 #[test]
-fn a_large_fleet_gets_its_lists_from_a_discovery_that_bears_hardly_more_than_it_must() {
+fn large_fleet_gets_its_lists_from_a_discovery_near_its_capacity() {
     let schedule = PollSchedule { relay_count: 350, poll_interval: POLL_INTERVAL };
-    let received = received(schedule, 350, Duration::from_secs(9) / 350, Duration::from_secs(60));
-    let last = received.iter().map(|at| at.unwrap_or(Duration::MAX)).max().unwrap();
+    let times = first_list_times(schedule, 350, Duration::from_secs(9) / 350, Duration::from_secs(60));
+    let last = times.iter().map(|at| at.unwrap_or(Duration::MAX)).max().unwrap();
     assert!(last <= POLL_INTERVAL * 4, "{last:?}");
 }
 
-/// The model shows what it guards against: without the spread most get no list within a minute.
+/// Checks that the model reproduces the failure: without the spread most relays get no list within a minute.
 #[test]
-fn without_the_spread_the_same_fleet_keeps_discovery_saturated() {
-    let each = Duration::from_secs(6) / 350;
-    let received = received(PollSchedule::default(), 350, each, Duration::from_secs(60));
-    let never = received.iter().filter(|at| at.is_none()).count();
+fn unspread_polls_of_a_large_fleet_keep_discovery_saturated() {
+    let service_time = Duration::from_secs(6) / 350;
+    let times = first_list_times(PollSchedule::default(), 350, service_time, Duration::from_secs(60));
+    let never = times.iter().filter(|at| at.is_none()).count();
     assert!(never > 175, "{never}");
 }
 
-/// A small fleet polls at once, and after a failure as before.
+/// A small fleet polls immediately, and with the plain backoff after a failure.
 #[test]
-fn a_small_fleet_does_not_wait() {
+fn polls_of_a_small_fleet_are_not_spread() {
     for relays in [1, 3, 6] {
         let schedule = PollSchedule { relay_count: relays, poll_interval: POLL_INTERVAL };
         assert_eq!(schedule.initial_delay(1.0), Duration::ZERO, "{relays}");
-        assert_eq!(schedule.retry_delay(1, None, 0.5), FIRST_PAUSE, "{relays}");
+        assert_eq!(schedule.retry_delay(1, None, 0.5), INITIAL_BACKOFF, "{relays}");
     }
-    // An interval out of range still lets every relay poll.
-    let ages = PollSchedule { relay_count: 350, poll_interval: Duration::MAX };
+    // A poll interval out of range still lets every relay poll.
+    let out_of_range = PollSchedule { relay_count: 350, poll_interval: Duration::MAX };
     assert!(
-        ages.initial_delay(1.0) < MAX_POLL_INTERVAL
-            && ages.retry_delay(40, None, 1.0) < MAX_POLL_INTERVAL * 2
+        out_of_range.initial_delay(1.0) < MAX_POLL_INTERVAL
+            && out_of_range.retry_delay(40, None, 1.0) < MAX_POLL_INTERVAL * 2
     );
-    // Nor do many where lists come unasked.
+    // Without required polling a large fleet is not spread either.
     assert_eq!(
         PollSchedule { relay_count: 350, poll_interval: Duration::ZERO }.initial_delay(1.0),
         Duration::ZERO
     );
 }
 
-/// The rule on drains: no longer without a poll than the interval, and four times that after a failed one.
+/// The rule on drains allows one poll interval without a poll, and four after a failed poll.
 #[test]
-fn no_pause_is_longer_than_the_rule_on_drains_allows() {
+fn delays_stay_within_the_limits_of_the_rule_on_drains() {
     let schedule = PollSchedule { relay_count: 100_000, poll_interval: POLL_INTERVAL };
     assert!(schedule.initial_delay(1.0) < POLL_INTERVAL);
     assert!(
-        schedule.retry_delay(40, Some(Duration::from_secs(9_999)), 1.0) + GIVE_UP_AFTER < POLL_INTERVAL * 4
+        schedule.retry_delay(40, Some(Duration::from_secs(9_999)), 1.0) + CLIENT_TIMEOUT < POLL_INTERVAL * 4
     );
 }
--- a/crates/discovery/src/jitter.rs
+++ b/crates/discovery/src/jitter.rs
@@ -1,16 +1,16 @@
-//! The random source that spreads pauses.
+//! The random source that spreads delays.
 
-/// Jitter from a seed: the same seed gives the same draws (splitmix64).
+/// Random source (splitmix64). The same seed gives the same samples.
 #[derive(Clone, Debug)]
 pub struct Jitter(u64);
 
 impl Jitter {
-    /// A source that draws by this seed.
+    /// Creates a source from this seed.
     pub fn new(seed: u64) -> Jitter {
         Jitter(seed)
     }
 
-    /// The next sample, in 0..1.
+    /// Returns the next sample, in 0..1.
     pub fn sample(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,10 +1,12 @@
-//! How a relay follows discovery's list of endpoints, decided without I/O.
+//! Rules by which a relay follows discovery's list of endpoints. No I/O.
 //!
-//! - [`PollSchedule`]: when discovery is polled, and when a poll is given up. Many relays may fail at one moment
-//!   (a release, a fleet restarted at once) against a discovery short of capacity; polling again after a fixed
-//!   pause keeps it saturated by all of them, and none gets a list.
-//! - [`DrainRecord`]: which endpoints were listed as draining or removed, and stay so whatever an older list says.
-//! - [`Jitter`]: the seeded random source that spreads the pauses.
+//! - [`PollSchedule`]: the delays between polls of discovery, and their timeouts. The polls of many relays
+//!   may fail at the same time (a release, a restart of the whole fleet) while discovery is short of
+//!   capacity. Polling again after a fixed delay would keep discovery saturated, and no relay would get a
+//!   list.
+//! - [`DrainRecord`]: the endpoints that were listed as draining or removed, and stay so even if an older
+//!   list shows them as ready.
+//! - [`Jitter`]: the seeded random source that spreads the delays.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/discovery/src/poll_schedule.rs
+++ b/crates/discovery/src/poll_schedule.rs
@@ -1,98 +1,106 @@
-//! When discovery is polled: the first poll, the pauses after polls that failed, and how long a poll may take.
+//! The schedule by which discovery is polled: the delay of the first poll, the delays after failed polls, and
+//! timeouts.
 
 use std::time::Duration;
 
-/// The pause after the first failed poll, from which the backoff grows.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The pause doubles with each failure in a row, up to this. What discovery has to tell counts as told 6 s later
-/// whether it arrived or not (rule 3), so a relay must still poll several times within that span.
-const MAX_PAUSE: Duration = Duration::from_millis(1_600);
-/// A Retry-After of discovery is kept to, up to this: what was missed counts as told after 6 s all the same.
+/// Backoff after the first failed poll. It doubles with each consecutive failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest backoff between failed polls. A change published by discovery counts as known to the relay 6 s
+/// later, whether or not it arrived (rule 3), so a relay must poll several times within that time.
+const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
+/// Longest Retry-After of discovery that is respected. A missed change counts as known to the relay after 6 s
+/// even while the relay waits.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(3_000);
 
-/// A watch waits for so long at least, and for the poll interval where that is longer (up to `MAX_WATCH_WAIT`).
-/// Guards against a watch that has fallen silent: it is as good as none, and what it misses counts as told 6 s
-/// after it fell silent, or 2 s after its wait is over if that is later.
+/// Shortest wait of a watch (a long poll); a watch waits for the poll interval if that is longer, up to
+/// `MAX_WATCH_WAIT`. Limits the effect of a watch that stops responding: the changes that it misses count as
+/// known to the relay 6 s after it stopped responding, or 2 s after the end of its wait if that is later.
 const MIN_WATCH_WAIT: Duration = Duration::from_millis(2_000);
-/// The longest that discovery lets a poll wait.
+/// Longest wait that discovery allows for a poll.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(60_000);
-/// A watch without an answer so long after its wait is broken: with the pause and the next poll this is within
-/// the 2 s after which what it missed counts as told.
+/// Time after the end of its wait at which a watch without an answer has failed. Together with the backoff
+/// and the next poll this is less than the 2 s after which the changes that it missed count as known to the
+/// relay.
 const WATCH_GRACE: Duration = Duration::from_millis(1_000);
-/// A poll that asks for an answer at once is given up after this. A discovery short of capacity says so after
-/// 2 s; a poll given up sooner would cost it as much and be made again.
+/// Timeout of a poll that requests an immediate answer. A discovery service short of capacity responds with
+/// an error after 2 s; a poll given up sooner would cost it the same and be repeated.
 const POLL_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// The same where lists come unasked: a discovery of the relay's own machine answers at once, and what a new one
-/// has to tell counts as told within 4 s.
+/// Timeout of a poll that requests an immediate answer if the settings require no polling. The discovery
+/// service then runs on the relay's machine and answers immediately, and the list of a new discovery service
+/// counts as known to the relay within 4 s.
 const LOCAL_POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A longer poll interval counts as this: a relay that hardly ever polls is never informed.
+/// Upper bound of the poll interval. A relay that polls less often would hardly receive any changes.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(60);
-/// So many relays may poll together without a spread.
-const MAX_SMALL_FLEET: u32 = 6;
-/// The share of the poll interval that the polls of a large fleet are spread over at most.
-const SPREAD_SHARE: f64 = 0.8;
+/// Largest number of relays that may poll at the same time without spreading their polls.
+const MAX_UNSPREAD_RELAYS: u32 = 6;
+/// Largest share of the poll interval over which the polls of a large fleet are spread.
+const MAX_SPREAD_SHARE: f64 = 0.8;
 
-/// What the settings say of polling for lists.
+/// Settings from which the delays and timeouts of polls are computed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollSchedule {
-    /// How many relays poll this discovery.
+    /// Number of relays that poll this discovery service.
     pub relay_count: u32,
-    /// A relay is to poll so often; zero where lists come unasked.
+    /// Interval at which a relay has to poll; zero if the settings require no polling.
     pub poll_interval: Duration,
 }
 
-/// How long a poll may take.
+/// Time limits of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollTimeouts {
-    /// For so long discovery may wait for a change; zero if the answer is due at once.
+    /// Time for which discovery may wait for a change; zero if the answer is due immediately.
     pub wait: Duration,
-    /// The relay gives the poll up after this span.
+    /// Time after which the relay gives up the poll.
     pub request_timeout: Duration,
 }
 
 impl PollSchedule {
-    /// Over which span the polls of the fleet are spread; zero for a small one.
+    /// Returns the interval over which the polls of the fleet are spread; zero for a small fleet.
     ///
-    /// What discovery surely bears is a poll of each relay in `poll_interval`. A large fleet that starts or fails
-    /// at one moment asks for more: each poll then waits behind the others until its relay has given it up, costs
-    /// discovery all the same, and is made again; so none is answered any more, for good. Polls spread over this
-    /// span are within what it bears. Harm: a list received later by up to that, so small fleets don't spread.
-    fn spread(&self) -> Duration {
-        let large = 1.0 - f64::from(MAX_SMALL_FLEET) / f64::from(self.relay_count.max(MAX_SMALL_FLEET));
-        self.poll_interval.min(MAX_POLL_INTERVAL).mul_f64(SPREAD_SHARE * large)
+    /// Discovery can serve at least one poll of each relay per `poll_interval`. A large fleet whose relays
+    /// start or fail at the same time exceeds that: each poll waits in the queue until its relay gives it up,
+    /// still costs discovery capacity, and is repeated, so that no poll is ever answered in time. Polls
+    /// spread over this interval stay within the capacity. The cost is that lists arrive later by up to this
+    /// interval, so the polls of small fleets are not spread.
+    fn spread_interval(&self) -> Duration {
+        let large_fleet_factor =
+            1.0 - f64::from(MAX_UNSPREAD_RELAYS) / f64::from(self.relay_count.max(MAX_UNSPREAD_RELAYS));
+        self.poll_interval.min(MAX_POLL_INTERVAL).mul_f64(MAX_SPREAD_SHARE * large_fleet_factor)
     }
 
-    /// How long a poll may wait at discovery, and when it is given up. `up_to_date`: discovery has answered since
-    /// the start, and what is newer than that list is asked for (a watch); else the answer is due at once.
-    /// Harm: a poll in so many seconds where nothing changes; its answer carries no entries.
+    /// Returns the time limits of a poll. If `up_to_date`, discovery has answered since the start, and the
+    /// poll is a watch that waits for a newer list; otherwise the answer is due immediately. The cost is one
+    /// poll per wait while nothing changes; its answer carries no entries.
     pub fn poll_timeouts(&self, up_to_date: bool) -> PollTimeouts {
         if up_to_date {
             let wait = self.poll_interval.clamp(MIN_WATCH_WAIT, MAX_WATCH_WAIT);
             return PollTimeouts { wait, request_timeout: wait + WATCH_GRACE };
         }
-        let lists_come_unasked = self.poll_interval.is_zero();
-        let request_timeout = if lists_come_unasked { LOCAL_POLL_TIMEOUT } else { POLL_TIMEOUT };
+        let is_polling_optional = self.poll_interval.is_zero();
+        let request_timeout = if is_polling_optional { LOCAL_POLL_TIMEOUT } else { POLL_TIMEOUT };
         PollTimeouts { wait: Duration::ZERO, request_timeout }
     }
 
-    /// The pause before the first poll; `jitter` is in 0..1.
+    /// Returns the delay before the first poll; `jitter` is in 0..1.
     pub fn initial_delay(&self, jitter: f64) -> Duration {
-        self.spread().mul_f64(jitter.clamp(0.0, 1.0))
+        self.spread_interval().mul_f64(jitter.clamp(0.0, 1.0))
     }
 
-    /// The pause before the next poll after `failures` failed polls in a row (1 or more): backoff, spread by
-    /// `jitter` (in 0..1) over half to one and a half of it, so that relays that failed together come back apart;
-    /// at least the `retry_after` of discovery, up to a bound. After a failed poll the rule on drains gives four
-    /// times `poll_interval`, which is more than the longest of these pauses and the poll's time together.
+    /// Returns the delay before the next poll after `failures` consecutive failed polls (1 or more).
+    ///
+    /// The backoff is multiplied by 0.5 to 1.5 according to `jitter` (in 0..1), so that relays whose polls
+    /// failed together do not retry together. The delay is at least the `retry_after` of discovery, up to a
+    /// bound. After a failed poll the rule on drains allows four times `poll_interval`, which is more than
+    /// the longest of these delays and the duration of the poll together.
     pub fn retry_delay(&self, failures: u32, retry_after: Option<Duration>, jitter: f64) -> Duration {
         let doublings = failures.clamp(1, 16) - 1;
-        let backoff = FIRST_PAUSE.saturating_mul(1 << doublings).min(MAX_PAUSE);
-        let fleet_spread = if failures > 1 { self.spread() } else { self.spread() / 2 };
-        let pause = backoff.max(fleet_spread).mul_f64(0.5 + jitter.clamp(0.0, 1.0));
+        let backoff = INITIAL_BACKOFF.saturating_mul(1 << doublings).min(MAX_BACKOFF);
+        let fleet_spread = if failures > 1 { self.spread_interval() } else { self.spread_interval() / 2 };
+        let delay = backoff.max(fleet_spread).mul_f64(0.5 + jitter.clamp(0.0, 1.0));
         match retry_after {
-            Some(retry_after) => pause.max(retry_after.min(MAX_RETRY_AFTER)),
-            None => pause,
+            Some(retry_after) => delay.max(retry_after.min(MAX_RETRY_AFTER)),
+            None => delay,
         }
     }
 }
