--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the operators' calls at the second address mean for a relay, and what follows from them: which endpoints
-//! are in maintenance, whether clients are sent away, when a client connection is closed. No I/O; times are spans
-//! since the relay's start.
+//! The operators' calls at the relay's second address (the admin address), and the state that they set: the
+//! endpoints in maintenance, standby, and the times at which client connections are closed in standby. No
+//! I/O. Times are durations since the relay's start.
 //!
-//! - [`parse_request`] reads a call, [`MaintenanceState`] answers it and keeps what it changed.
+//! - [`parse_request`] parses a call, [`MaintenanceState`] answers it and keeps the resulting state.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/maintenance/src/tests.rs
+++ b/crates/maintenance/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::call::answer;
+use crate::call::response;
 use std::time::Duration;
 
 fn ms(n: u64) -> Duration {
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn calls_are_read_or_refused_with_a_4xx() {
+fn calls_are_parsed_or_rejected_with_a_4xx() {
     assert_eq!(parse_request("GET", "/status"), Ok(AdminRequest::Status));
     assert_eq!(parse_request("POST", "/maintenance/enter?target=e-3"), Ok(AdminRequest::Enter("e-3".into())));
     assert_eq!(
@@ -21,27 +21,27 @@
 }
 
 #[test]
-fn an_endpoint_never_listed_is_refused_and_repeats_are_harmless() {
+fn unlisted_endpoint_is_rejected_and_repeated_calls_have_no_effect() {
     let mut maintenance = MaintenanceState::default();
-    let (no, _) = maintenance.handle(AdminRequest::Enter("a".into()), ms(0));
-    assert_eq!(no.code, 404);
+    let (rejection, _) = maintenance.handle(AdminRequest::Enter("a".into()), ms(0));
+    assert_eq!(rejection.code, 404);
     maintenance.record_listed_endpoint("a");
     assert_eq!(
         maintenance.handle(AdminRequest::Enter("a".into()), ms(0)),
-        (answer(200, "out"), Change::EndpointOut("a".into()))
+        (response(200, "out"), Change::EndpointOut("a".into()))
     );
     assert_eq!(maintenance.handle(AdminRequest::Enter("a".into()), ms(1)).1, Change::None);
     assert!(maintenance.is_in_maintenance("a"));
     assert_eq!(maintenance.handle(AdminRequest::Exit("a".into()), ms(2)).1, Change::EndpointBack("a".into()));
     assert_eq!(
         maintenance.handle(AdminRequest::Exit("a".into()), ms(3)),
-        (answer(200, "was not out"), Change::None)
+        (response(200, "was not out"), Change::None)
     );
     assert!(!maintenance.is_in_maintenance("a"));
 }
 
 #[test]
-fn endpoints_in_maintenance_outlive_the_process_by_their_text() {
+fn endpoints_in_maintenance_are_restored_from_their_text() {
     let mut maintenance = MaintenanceState::default();
     for id in ["b", "a"] {
         maintenance.record_listed_endpoint(id);
@@ -50,12 +50,12 @@
     maintenance.handle(AdminRequest::Enter("a".into()), ms(0));
     let mut again = MaintenanceState::from_text(&maintenance.to_text());
     assert!(again.is_in_maintenance("a") && again.is_in_maintenance("b"));
-    // Known from before, so it may be put back before any list came.
+    // A restored endpoint is known, so its maintenance can end before the first list arrives.
     assert_eq!(again.handle(AdminRequest::Exit("a".into()), ms(0)).0.code, 200);
 }
 
 #[test]
-fn standby_sends_clients_away_and_lets_connections_go() {
+fn standby_fails_pings_and_closes_client_connections() {
     let mut maintenance = MaintenanceState::default();
     assert_eq!(maintenance.handle(AdminRequest::Status, ms(0)).0.code, 503);
     maintenance.set_serving();
@@ -63,7 +63,8 @@
     assert!(maintenance.should_answer_ping() && maintenance.idle_close_at(ms(0)).is_none());
     assert_eq!(maintenance.handle(AdminRequest::Standby, ms(1_000)).1, Change::Standby);
     assert!(!maintenance.should_answer_ping());
-    // An old idle one goes soon after the call, a busy one after its own wait, none later than STANDBY_CLOSE_TIMEOUT.
+    // A connection that was idle before standby closes STANDBY_IDLE_TIMEOUT after its start; a later idle one
+    // closes STANDBY_IDLE_TIMEOUT after its last request, and never later than STANDBY_CLOSE_TIMEOUT.
     assert_eq!(maintenance.idle_close_at(ms(0)), Some(ms(1_000) + STANDBY_IDLE_TIMEOUT));
     assert_eq!(maintenance.idle_close_at(ms(1_100)), Some(ms(1_100) + STANDBY_IDLE_TIMEOUT));
     assert_eq!(maintenance.idle_close_at(ms(2_400)), Some(ms(1_000) + STANDBY_CLOSE_TIMEOUT));
@@ -78,12 +79,12 @@
 }
 
 #[test]
-fn endpoints_in_maintenance_as_another_process_wrote_them_replace_ours() {
+fn reload_replaces_the_endpoints_in_maintenance() {
     let mut maintenance = MaintenanceState::from_text("e1\ne2\n");
     assert!(!maintenance.reload("e2\ne1\n"));
     assert!(maintenance.reload("e2\ne3\n"));
     assert!(!maintenance.is_in_maintenance("e1") && maintenance.is_in_maintenance("e3"));
-    // An endpoint that was in maintenance elsewhere may be put back here.
+    // Maintenance that another process started can be ended by this one.
     assert_eq!(
         maintenance.handle(AdminRequest::Exit("e3".into()), Duration::ZERO).1,
         Change::EndpointBack("e3".into())
