--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,16 +1,16 @@
-//! What can be wrong with the settings.
+//! Errors of the settings.
 
-/// Why a settings object can't be used: one plain line each, which names the setting by its path.
+/// Reason why a settings object can't be used. Each message is one line that names the setting by its path.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// A setting that every instance needs is not there.
+    /// A required setting is missing.
     #[error("setting {path} is missing")]
     Missing {
         /// The setting's path, its parts joined by dots.
         path: String,
     },
-    /// The text is not of the setting's type.
+    /// The text can't be parsed as the setting's type.
     #[error("setting {path}={text} can't be read")]
     Unreadable {
         /// The setting's path, its parts joined by dots.
@@ -18,44 +18,44 @@
         /// The text as given.
         text: String,
     },
-    /// The number is negative, infinite or none.
-    #[error("setting {path}={value} is no amount")]
+    /// The number is negative, infinite or NaN.
+    #[error("setting {path}={value} is not a finite number of at least 0")]
     NotAnAmount {
         /// The setting's path, its parts joined by dots.
         path: String,
         /// The number as Rust writes it.
         value: String,
     },
-    /// A count of zero, where at least one is needed.
-    #[error("setting {path}={value} is none at all")]
+    /// A count is zero, but must be at least one.
+    #[error("setting {path}={value} must be at least 1")]
     Zero {
         /// The setting's path, its parts joined by dots.
         path: String,
         /// The number as Rust writes it.
         value: String,
     },
-    /// Two names in a list become one once spaces and commas are replaced.
-    #[error("setting {list}: two names are read as {name}; they can't be told apart")]
+    /// Two names in a list are equal once spaces and commas are replaced.
+    #[error("setting {list}: two names are both read as {name} and can't be distinguished")]
     DuplicateName {
         /// The path of the list.
         list: String,
-        /// The name that both become.
+        /// The name as which both are read.
         name: String,
     },
-    /// The number of the relay's zone is beyond the list of zones.
-    #[error("setting zone={zone} is none of the {count} localities")]
+    /// The number of the relay's zone is not in the list of zones.
+    #[error("setting zone={zone} is out of range: there are {count} localities")]
     UnknownZone {
         /// The number given.
         zone: usize,
-        /// How many zones are listed.
+        /// The number of listed zones.
         count: usize,
     },
-    /// A message class says what repeats of its messages do in a word that is none of the known ones.
+    /// The idempotency of a message class has an unknown value.
     #[error("setting {path}={value} is not known")]
     UnknownIdempotency {
         /// The setting's path, its parts joined by dots.
         path: String,
-        /// The word given.
+        /// The value as given.
         value: String,
     },
 }
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -1,4 +1,4 @@
-//! The settings as text by path, whichever form they came in, and the reading of single values.
+//! The settings as text by path, from either form, and the parsing of single values.
 
 use crate::error::SettingsError;
 use serde_json::Value;
@@ -7,16 +7,16 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The settings as text by path; a list of plain values is one text, joined by commas.
+/// The settings as text by path. A list of plain values is one text, joined by commas.
 pub struct FlatSettings(BTreeMap<String, String>);
 
-/// A name as it stands in a list of names: spaces and commas are underscores.
+/// Returns the form of a name that is used in lists of names: spaces and commas are replaced by underscores.
 pub fn normalize_name(name: &str) -> String {
     name.replace([' ', ','], "_")
 }
 
 impl FlatSettings {
-    /// From lines of `path=value`; lines without `=` are left out.
+    /// Parses lines of `path=value`. Lines without `=` are ignored.
     pub fn from_text(text: &str) -> FlatSettings {
         let mut values = BTreeMap::new();
         for (path, value) in text.lines().filter_map(|line| line.split_once('=')) {
@@ -25,8 +25,8 @@
         FlatSettings(values)
     }
 
-    /// From nested JSON with the same names; parts of a path are joined by dots. A list of objects is read as its
-    /// `count` and one path for each index; `null` is as good as absent.
+    /// Flattens nested JSON with the same names; the parts of a path are joined by dots. A list of objects
+    /// becomes its `count` and one path for each index. `null` is treated as absent.
     pub fn from_json(value: &Value) -> FlatSettings {
         let mut settings = FlatSettings(BTreeMap::new());
         settings.flatten(String::new(), value);
@@ -34,17 +34,18 @@
     }
 
     fn flatten(&mut self, path: String, value: &Value) {
-        let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+        let child_path =
+            |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
         match value {
             Value::Object(fields) => {
                 for (name, field) in fields {
-                    self.flatten(below(name), field);
+                    self.flatten(child_path(name), field);
                 }
             }
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.0.insert(below("count"), items.len().to_string());
+                self.0.insert(child_path("count"), items.len().to_string());
                 for (index, item) in items.iter().enumerate() {
-                    self.flatten(below(&index.to_string()), item);
+                    self.flatten(child_path(&index.to_string()), item);
                 }
             }
             Value::Array(items) => {
@@ -52,18 +53,18 @@
                 self.0.insert(path, texts.join(","));
             }
             Value::Null => {}
-            single => {
-                self.0.insert(path, json_text(single));
+            scalar => {
+                self.0.insert(path, json_text(scalar));
             }
         }
     }
 
-    /// The text at the path, empty if there is none.
+    /// Returns the text at the path, or an empty text if there is none.
     pub(crate) fn text(&self, path: &str) -> &str {
         self.0.get(path).map_or("", String::as_str)
     }
 
-    /// The value, which must be there.
+    /// Returns a required value.
     pub(crate) fn required<T: FromStr>(&self, path: &str) -> Result<T, SettingsError> {
         let Some(text) = self.0.get(path) else {
             return Err(SettingsError::Missing { path: path.to_string() });
@@ -71,43 +72,43 @@
         parse(path, text)
     }
 
-    /// The value, or what its absence means on the wire.
+    /// Returns the value, or `absent` if there is none.
     pub(crate) fn value_or<T: FromStr>(&self, path: &str, absent: T) -> Result<T, SettingsError> {
         self.0.get(path).map_or(Ok(absent), |text| parse(path, text))
     }
 
-    /// The values of a list; none if the list is absent.
+    /// Returns the values of a list, which is empty if absent.
     pub(crate) fn list<T: FromStr>(&self, path: &str) -> Result<Vec<T>, SettingsError> {
         let items = self.text(path).split(',').filter(|item| !item.is_empty());
         items.map(|item| parse(path, item)).collect()
     }
 
-    /// A span, given in microseconds.
+    /// Returns a duration, given in microseconds.
     pub(crate) fn duration(&self, path: &str) -> Result<Duration, SettingsError> {
         self.required(path).map(Duration::from_micros)
     }
 
-    /// A span, given in microseconds; zero if absent.
+    /// Returns a duration, given in microseconds; zero if absent.
     pub(crate) fn duration_or_zero(&self, path: &str) -> Result<Duration, SettingsError> {
         self.value_or(path, 0).map(Duration::from_micros)
     }
 
-    /// A finite number of at least zero.
+    /// Returns a finite number of at least zero.
     pub(crate) fn amount(&self, path: &str) -> Result<f64, SettingsError> {
         check_amount(path, self.required(path)?)
     }
 
-    /// A finite number of at least zero; zero if absent.
+    /// Returns a finite number of at least zero; zero if absent.
     pub(crate) fn amount_or_zero(&self, path: &str) -> Result<f64, SettingsError> {
         check_amount(path, self.value_or(path, 0.0)?)
     }
 
-    /// A list of finite numbers of at least zero.
+    /// Returns a list of finite numbers of at least zero.
     pub(crate) fn amounts(&self, path: &str) -> Result<Vec<f64>, SettingsError> {
         self.list(path)?.into_iter().map(|number| check_amount(path, number)).collect()
     }
 
-    /// A whole number of at least one.
+    /// Returns an integer of at least one.
     pub(crate) fn count<T>(&self, path: &str) -> Result<T, SettingsError>
     where
         T: FromStr + PartialOrd + From<u8> + Display,
@@ -119,7 +120,7 @@
         Err(SettingsError::Zero { path: path.to_string(), value: number.to_string() })
     }
 
-    /// The names of a list of objects.
+    /// Returns the names in a list of objects.
     pub(crate) fn object_names(&self, list: &str) -> Result<Vec<String>, SettingsError> {
         let count: u32 = self.value_or(&format!("{list}.count"), 0)?;
         let mut names = Vec::new();
@@ -129,7 +130,7 @@
         check_distinct(list, names)
     }
 
-    /// The names of a list of plain names.
+    /// Returns the names in a list of plain names.
     pub(crate) fn plain_names(&self, list: &str) -> Result<Vec<String>, SettingsError> {
         check_distinct(list, self.list(list)?)
     }
@@ -151,7 +152,7 @@
     Err(SettingsError::NotAnAmount { path: path.to_string(), value: number.to_string() })
 }
 
-/// Guards against two names that would be taken for one another.
+/// Checks that the names are distinct. Guards against two names that become equal when they are normalized.
 fn check_distinct(list: &str, names: Vec<String>) -> Result<Vec<String>, SettingsError> {
     let mut seen = BTreeSet::new();
     for name in &names {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,11 @@
 //! Reads the settings object that an instance gets at its start, for both hosts: as path=value lines, or as
-//! nested JSON with the same names and units. Spans are in microseconds. The names on the wire are the pages';
-//! they are translated to the terms of the code here and nowhere else. Reads no file and decides nothing.
+//! nested JSON with the same names and units. Durations are in microseconds. The names of the settings are
+//! fixed by the protocol and are translated to the terms of the code only here. Reads no file and makes no
+//! decisions.
 //!
-//! - [`FlatSettings`] holds the settings as text by path, whichever form they came in.
-//! - [`policy_settings`] reads those of the decisions, [`socket_settings`] those of a host on sockets.
+//! - [`FlatSettings`] holds the settings as text by path, from either form.
+//! - [`policy_settings`] reads the settings of the delivery policy, [`socket_settings`] those of a host on
+//!   sockets.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -1,27 +1,27 @@
-//! The settings of the decisions.
+//! The settings of the delivery policy.
 
 use crate::error::SettingsError;
 use crate::flat::FlatSettings;
 use mountshift::interface::*;
 
-/// The number of this relay among its peers.
+/// Returns the number of this relay among its peers.
 ///
 /// # Errors
-/// If it is no number.
+/// If the setting is not a number.
 pub fn relay_id(settings: &FlatSettings) -> Result<RelayId, SettingsError> {
     settings.value_or("me", 0).map(RelayId)
 }
 
-/// Reads the settings of the decisions, for the relay of that number; `seed` is that of its random source.
+/// Reads the settings of the delivery policy for the given relay. `seed` is the seed of its random source.
 ///
 /// # Errors
-/// If a setting is missing, can't be read, or is not in its range.
+/// If a setting is missing, can't be read, or is out of range.
 pub fn policy_settings(
     settings: &FlatSettings,
     relay: RelayId,
     seed: u64,
 ) -> Result<PolicySettings, SettingsError> {
-    // In this order: of several wrong settings the first one read is reported.
+    // The order matters: of several invalid settings, the first one read is reported.
     let classes = message_classes(settings)?;
     let destination_kinds = destination_kinds(settings)?;
     let tenant_quotas = tenant_quotas(settings)?;
@@ -58,24 +58,24 @@
     (0..count).map(|index| message_class(settings, &format!("classes.{index}"))).collect()
 }
 
-/// The class that stands at the path `class`.
+/// Reads the message class at the path `class`.
 fn message_class(settings: &FlatSettings, class: &str) -> Result<MessageClass, SettingsError> {
     let path = |name: &str| format!("{class}.{name}");
-    let idempotency_word: String = settings.required(&path("idempotency"))?;
+    let idempotency_value: String = settings.required(&path("idempotency"))?;
     let deadline = settings.duration(&path("giveUp"))?;
     Ok(MessageClass {
-        // A latency objective beyond the deadline: full value up to the deadline.
+        // A latency objective beyond the deadline means full value up to the deadline.
         latency_objective: settings.duration(&path("aim"))?.min(deadline),
         deadline,
         priority_weight: settings.amount(&path("importance"))?,
         late_weight_share: settings.amount_or_zero(&path("lateWorth"))?,
-        idempotency: idempotency(settings, class, &idempotency_word)?,
+        idempotency: idempotency(settings, class, &idempotency_value)?,
         in_order: settings.value_or(&path("inOrder"), false)?,
     })
 }
 
-fn idempotency(settings: &FlatSettings, class: &str, word: &str) -> Result<Idempotency, SettingsError> {
-    match word {
+fn idempotency(settings: &FlatSettings, class: &str, value: &str) -> Result<Idempotency, SettingsError> {
+    match value {
         "idempotent" => Ok(Idempotency::Idempotent),
         "deduplicated" => Ok(Idempotency::WithKey {
             window: settings.duration(&format!("{class}.memorySpan"))?,
@@ -114,16 +114,16 @@
 }
 
 fn decay(settings: &FlatSettings) -> Result<Decay, SettingsError> {
-    let word = settings.value_or("familyInfo.decay", "linear".to_string())?;
-    Ok(match word.as_str() {
+    let value = settings.value_or("familyInfo.decay", "linear".to_string())?;
+    Ok(match value.as_str() {
         "halving" => Decay::Halving,
         _ => Decay::Linear,
     })
 }
 
 fn listed_rate(settings: &FlatSettings) -> Result<ListedRate, SettingsError> {
-    let word = settings.value_or("weights", "none".to_string())?;
-    Ok(match word.as_str() {
+    let value = settings.value_or("weights", "none".to_string())?;
+    Ok(match value.as_str() {
         "nominal" => ListedRate::Exact,
         "rough" => ListedRate::Approximate,
         _ => ListedRate::Unknown,
--- a/crates/settings/src/socket.rs
+++ b/crates/settings/src/socket.rs
@@ -1,34 +1,34 @@
-//! The settings that a host on sockets reads beside those of the decisions.
+//! The settings that a host on sockets needs in addition to those of the delivery policy.
 
 use crate::error::SettingsError;
 use crate::flat::FlatSettings;
 use std::time::Duration;
 
-/// What the settings say of a report that holds the limit in calls a second.
-const RATE_LIMIT_REPORT: &str = "calls_a_second_that_the_limit_allows";
+/// Start of the description, in the settings, of a report value that is the limit in calls a second.
+const RATE_LIMIT_DESCRIPTION: &str = "calls_a_second_that_the_limit_allows";
 
-/// What a host on sockets reads beside the settings of the decisions.
+/// The settings that a host on sockets needs in addition to those of the delivery policy.
 #[derive(Clone, Debug)]
 pub struct SocketSettings {
-    /// Names of the message classes, in the order in which the decisions number them.
+    /// Names of the message classes, indexed by the numbers that the policy uses.
     pub classes: Vec<String>,
-    /// Names of the tenants, likewise.
+    /// Names of the tenants, indexed in the same way.
     pub tenants: Vec<String>,
-    /// Names of the zones, likewise.
+    /// Names of the zones, indexed in the same way.
     pub zones: Vec<String>,
-    /// Names of the kinds of destinations, likewise.
+    /// Names of the kinds of destinations, indexed in the same way.
     pub destination_kinds: Vec<String>,
-    /// Idle connections are closed by the other side after this span at the latest.
+    /// Time after which the other side has closed an idle connection at the latest.
     pub idle_timeout: Duration,
-    /// A connection that is not up by then has failed.
+    /// Time within which a connection must be established.
     pub connect_timeout: Duration,
-    /// The shortest span between two steps of the decisions.
+    /// Shortest interval between two steps of the policy.
     pub min_step_interval: Duration,
-    /// The name under which answers report a rate limit; none where they don't.
+    /// The name under which answers report a rate limit; `None` if they don't report one.
     pub rate_limit_field: Option<String>,
 }
 
-/// Where answers report the rate limit.
+/// Position of the rate limit in the reports of answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RateLimitField {
     /// The index of the value in a report.
@@ -37,10 +37,10 @@
     pub name: String,
 }
 
-/// Reads what a host on sockets needs.
+/// Reads the settings that a host on sockets needs.
 ///
 /// # Errors
-/// If a setting is missing or can't be read, if two names can't be told apart, or if the zone is not listed.
+/// If a setting is missing or can't be read, if two names in a list are equal, or if the zone is not listed.
 pub fn socket_settings(settings: &FlatSettings) -> Result<SocketSettings, SettingsError> {
     let zones = settings.plain_names("localities")?;
     let zone: usize = settings.value_or("zone", 0)?;
@@ -59,7 +59,7 @@
     })
 }
 
-/// Which value of a report is the limit in calls a second; none where answers hold no reports.
+/// Returns the value of a report that is the limit in calls a second, or `None` if answers don't report it.
 ///
 /// # Errors
 /// If a setting can't be read.
@@ -70,7 +70,7 @@
     let names: Vec<String> = settings.list("loadInfo.fields")?;
     for (index, name) in names.into_iter().enumerate() {
         let description = settings.text(&format!("familyInfo.reportX{index}"));
-        if description.starts_with(RATE_LIMIT_REPORT) {
+        if description.starts_with(RATE_LIMIT_DESCRIPTION) {
             return Ok(Some(RateLimitField { index, name }));
         }
     }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Both forms of the settings object say the same.
+//! Reading of the settings object, in both of its forms.
 
 use mountshift::interface::*;
 use mountshift_settings::{
@@ -38,7 +38,9 @@
             "dialTimeout": 1_500_000},
         "obligations": {"coldFrom": 0.28, "warmAfter": 13_000_000, "fallMultiple": 1.5, "fall": 2_000_000}});
     let (text, json) = (FlatSettings::from_text(TEXT), FlatSettings::from_json(&json));
-    let read = |pairs| policy_settings(pairs, relay_id(pairs).expect("a number"), 9).expect("settings");
+    let read = |flat_settings| {
+        policy_settings(flat_settings, relay_id(flat_settings).expect("a number"), 9).expect("settings")
+    };
     assert_eq!(format!("{:?}", read(&json)), format!("{:?}", read(&text)));
     assert_eq!(format!("{:?}", socket_settings(&json)), format!("{:?}", socket_settings(&text)));
     let (policy, sockets) = (read(&json), socket_settings(&json).expect("settings"));
@@ -58,60 +60,69 @@
 }
 
 #[test]
-fn what_is_missing_or_odd_is_named() {
-    for (from, to, named) in [
+fn error_names_the_missing_or_invalid_setting() {
+    for (from, to, expected) in [
         ("balancers=3\n", "", "setting balancers is missing"),
         ("limits.openCap=117", "limits.openCap=many", "setting limits.openCap=many can't be read"),
         (
             "obligations.coldFrom=0.28",
             "obligations.coldFrom=NaN",
-            "setting obligations.coldFrom=NaN is no amount",
+            "setting obligations.coldFrom=NaN is not a finite number of at least 0",
+        ),
+        (
+            "familyInfo.callsOut=7",
+            "familyInfo.callsOut=0",
+            "setting familyInfo.callsOut=0 must be at least 1",
+        ),
+        ("limits.maxAttempts=8", "limits.maxAttempts=0", "setting limits.maxAttempts=0 must be at least 1"),
+        (
+            "feeByZone=0.5,0.25",
+            "feeByZone=0.5,inf",
+            "setting familyInfo.feeByZone=inf is not a finite number of at least 0",
         ),
-        ("familyInfo.callsOut=7", "familyInfo.callsOut=0", "setting familyInfo.callsOut=0 is none at all"),
-        ("limits.maxAttempts=8", "limits.maxAttempts=0", "setting limits.maxAttempts=0 is none at all"),
-        ("feeByZone=0.5,0.25", "feeByZone=0.5,inf", "setting familyInfo.feeByZone=inf is no amount"),
-        ("classes.count=2", "classes.count=0", "setting classes.count=0 is none at all"),
+        ("classes.count=2", "classes.count=0", "setting classes.count=0 must be at least 1"),
         ("=at_most_once", "=sometimes", "setting classes.1.idempotency=sometimes is not known"),
     ] {
-        let pairs = FlatSettings::from_text(&TEXT.replacen(from, to, 1));
-        assert_eq!(policy_settings(&pairs, RelayId(0), 1).expect_err(named).to_string(), named);
+        let flat_settings = FlatSettings::from_text(&TEXT.replacen(from, to, 1));
+        assert_eq!(policy_settings(&flat_settings, RelayId(0), 1).expect_err(expected).to_string(), expected);
     }
 }
 
-// Guards against two customers' names merged into one: spaces and commas are read as underscores.
+// Guards against two customers whose names become equal, because spaces and commas are read as underscores.
 #[test]
-fn names_that_would_be_taken_for_one_another_are_refused() {
-    let named = |json: serde_json::Value| {
+fn names_that_become_equal_are_rejected() {
+    let result_of = |json: serde_json::Value| {
         let settings = socket_settings(&FlatSettings::from_json(&json));
         settings.map(drop).map_err(|error: SettingsError| error.to_string())
     };
     let limits = json!({"connIdle": 1, "dialTimeout": 1});
     for list in ["classes", "tenants"] {
         let two = |a: &str, b: &str| json!({list: [{"name": a}, {"name": b}], "limits": limits});
-        let said = format!("setting {list}: two names are read as a_b; they can't be told apart");
-        assert_eq!(named(two("a b", "a_b")), Err(said.clone()));
-        assert_eq!(named(two("a,b", "a b")), Err(said));
-        assert_eq!(named(two("a b", "A b")), Ok(()));
+        let expected = format!("setting {list}: two names are both read as a_b and can't be distinguished");
+        assert_eq!(result_of(two("a b", "a_b")), Err(expected.clone()));
+        assert_eq!(result_of(two("a,b", "a b")), Err(expected));
+        assert_eq!(result_of(two("a b", "A b")), Ok(()));
     }
     for list in ["localities", "kinds"] {
-        let said = format!("setting {list}: two names are read as a_b; they can't be told apart");
-        assert_eq!(named(json!({list: ["a b", "a_b"], "limits": limits})), Err(said));
+        let expected = format!("setting {list}: two names are both read as a_b and can't be distinguished");
+        assert_eq!(result_of(json!({list: ["a b", "a_b"], "limits": limits})), Err(expected));
     }
     let zone = json!({"localities": ["a", "b"], "zone": 2, "limits": limits});
-    assert_eq!(named(zone), Err("setting zone=2 is none of the 2 localities".to_string()));
+    assert_eq!(result_of(zone), Err("setting zone=2 is out of range: there are 2 localities".to_string()));
 }
 
-// A latency objective beyond the deadline is none: the value stays whole up to the deadline.
+// A latency objective beyond the deadline has no effect: a message keeps its full value up to the deadline.
 #[test]
-fn a_latency_objective_is_never_beyond_the_deadline() {
-    let pairs = FlatSettings::from_text(&TEXT.replacen("classes.1.aim=1\n", "classes.1.aim=9\n", 1));
-    let class = policy_settings(&pairs, RelayId(0), 1).expect("settings").classes[1];
+fn latency_objective_is_limited_to_the_deadline() {
+    let flat_settings = FlatSettings::from_text(&TEXT.replacen("classes.1.aim=1\n", "classes.1.aim=9\n", 1));
+    let class = policy_settings(&flat_settings, RelayId(0), 1).expect("settings").classes[1];
     assert_eq!(class.latency_objective, class.deadline);
 }
 
-// Answers report a rate limit where the settings say which of their values it is; a report of anything else is none.
+// Answers report a rate limit if the settings describe one of their values as the limit. Other values are
+// ignored.
 #[test]
-fn the_rate_limit_field_is_found_by_what_the_settings_say_of_it() {
+fn rate_limit_field_is_found_by_its_description_in_the_settings() {
     let field = |index, name: &str| Some(RateLimitField { index, name: name.to_string() });
     let found = |source: &str, fields: &[&str], x0: &str, x1: &str| {
         let json = json!({"loadInfo": {"source": source, "fields": fields}, "familyInfo": {"reportX0": x0, "reportX1": x1}});
