--- a/crates/simulation-adapter/src/decode.rs
+++ b/crates/simulation-adapter/src/decode.rs
@@ -1,4 +1,5 @@
-//! Decodes the records for an instance into the inputs of its policy. The wire's words end here.
+//! Decodes the records for an instance into the inputs of its policy, and translates the wire protocol's terms
+//! into those of the policy.
 
 use crate::error::AdapterError;
 use crate::wire::{Cursor, EndpointList, LIST_ENTRY_BYTES, WireTime};
@@ -13,7 +14,7 @@
     let tenant = TenantId(fields.u32("account")?);
     let destination = DestinationId(fields.f32("dest")? as u32);
     let deadline = WireTime(fields.u64("deadline")?).since(started_at);
-    // On the wire a key of zero means none.
+    // On the wire a key of zero means that the message has no key.
     let key = match fields.u64("affinity")? {
         0 => None,
         key => Some(OrderingKey(key)),
@@ -39,11 +40,11 @@
     let endpoint = fields.endpoint("endpoint")?;
     let closed = fields.u8("over")? != 0;
     let outcome = decode_outcome(fields.u8("code")?, retry_after)?;
-    // The report is left out where there is none.
+    // The count of reported values is absent if there is no report.
     let reported_values = fields.u8("report").unwrap_or(0);
-    for position in 0..usize::from(reported_values) {
+    for index in 0..usize::from(reported_values) {
         let value = fields.f32("report")?;
-        if rate_limit_field == Some(position) {
+        if rate_limit_field == Some(index) {
             inputs.push(Input::RateLimitReported { endpoint, rate: value.into() });
         }
     }
@@ -66,9 +67,9 @@
     }
 }
 
-/// How a list change tells that the poll failed.
+/// Value of a list change's `how` field if the poll failed.
 const LIST_FAILED: u8 = 1;
-/// How it tells that the list holds only what changed.
+/// Value of a list change's `how` field if the list holds only changes.
 const LIST_DELTA: u8 = 2;
 
 pub(crate) fn decode_list_change(
@@ -77,14 +78,14 @@
     inputs: &mut Vec<Input>,
 ) -> Result<(), AdapterError> {
     fields.u64("generation")?;
-    let how = fields.u8("how")?;
-    if how == LIST_FAILED {
+    let change_type = fields.u8("how")?;
+    if change_type == LIST_FAILED {
         inputs.push(Input::PollFailed { retry_after: None });
         return Ok(());
     }
     inputs.push(Input::ListReceived);
     let list = list.ok_or(AdapterError::MissingList)?;
-    if how != LIST_DELTA {
+    if change_type != LIST_DELTA {
         inputs.push(Input::FullListBegins);
     }
     for entry in list.chunks_exact(LIST_ENTRY_BYTES) {
--- a/crates/simulation-adapter/src/frame.rs
+++ b/crates/simulation-adapter/src/frame.rs
@@ -4,10 +4,10 @@
 use crate::wire::{Cursor, LENGTH_BYTES};
 use std::io::Read;
 
-/// Bytes of a frame's header: the clock and the number of records.
+/// Size in bytes of a frame's header: the clock and the number of records.
 const HEADER_BYTES: usize = size_of::<u64>() + size_of::<u32>();
 
-/// Reads a frame's content; none at a clean end of input.
+/// Reads a frame's content; returns `None` if the input ends before the frame begins.
 pub(crate) fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
     let length = read_up_to(input, LENGTH_BYTES as u64)?;
     if length.is_empty() {
@@ -27,7 +27,7 @@
     Ok(Some(frame))
 }
 
-/// Reads this many bytes, or fewer where the input ends.
+/// Reads `count` bytes, or fewer if the input ends.
 fn read_up_to(input: &mut impl Read, count: u64) -> Result<Vec<u8>, AdapterError> {
     let mut bytes = Vec::new();
     input.take(count).read_to_end(&mut bytes).map_err(AdapterError::ReadFrame)?;
--- a/crates/simulation-adapter/src/main.rs
+++ b/crates/simulation-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts the decisions on the simulator's wire: frames on standard input, replies on standard output.
+//! Runs the delivery policy on the simulator's wire protocol: frames on standard input, replies on standard
+//! output.
 #![forbid(unsafe_code)]
 
 mod decode;
@@ -32,7 +33,7 @@
     let mut session = Session::default();
     while let Some(frame) = read_frame(input)? {
         let mut reply = Reply::new();
-        session.play_frame(&frame, &mut reply)?;
+        session.process_frame(&frame, &mut reply)?;
         output.write_all(reply.finish()).map_err(AdapterError::WriteReply)?;
         output.flush().map_err(AdapterError::WriteReply)?;
     }
--- a/crates/simulation-adapter/src/reply.rs
+++ b/crates/simulation-adapter/src/reply.rs
@@ -1,10 +1,10 @@
-//! Replies: the decisions as records of the wire.
+//! Replies: encodes the actions of the policy as records of the wire protocol.
 
 use crate::wire::{ENDPOINT_ID_BYTES, LENGTH_BYTES};
 use mountshift::interface::*;
 use std::time::Duration;
 
-/// The records of a reply; the numbers are the wire's.
+/// Codes of the records of a reply, as defined by the wire protocol.
 #[derive(Clone, Copy)]
 enum ReplyCode {
     CloseIdleConnections = 256,
@@ -17,13 +17,13 @@
     Cancel = 267,
 }
 
-/// The reply being written; takes the decisions of one instance after another.
+/// The reply being written. Collects the actions of one instance after another.
 pub(crate) struct Reply {
     bytes: Vec<u8>,
     instance: u32,
 }
 
-/// A span as the wire tells it; one too long for its field becomes the longest.
+/// Encodes a duration in microseconds. A duration too long for the field becomes the largest value.
 fn microseconds(span: Duration) -> [u8; 4] {
     u32::try_from(span.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
 }
@@ -35,17 +35,17 @@
 }
 
 impl Reply {
-    /// A reply without records.
+    /// Creates a reply without records.
     pub(crate) fn new() -> Reply {
         Reply { bytes: vec![0; LENGTH_BYTES], instance: 0 }
     }
 
-    /// Names the instance whose decisions come next.
+    /// Sets the instance to which the following actions belong.
     pub(crate) fn begin_instance(&mut self, instance: u32) {
         self.instance = instance;
     }
 
-    /// Fills in the length; the bytes are then ready to be written.
+    /// Fills in the length and returns the complete reply.
     pub(crate) fn finish(&mut self) -> &[u8] {
         let length = (self.bytes.len() - LENGTH_BYTES) as u32;
         self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
@@ -64,7 +64,7 @@
 
 impl Actions for Reply {
     fn send(&mut self, message: MessageId, endpoint: EndpointId, limit: Duration) {
-        // On the wire a limit of zero means none.
+        // On the wire a limit of zero means no limit.
         let limit = limit.max(Duration::from_micros(1));
         let fields: [&[u8]; 3] = [&message.0.to_le_bytes(), &endpoint_bytes(endpoint), &microseconds(limit)];
         self.record(ReplyCode::Send, &fields);
@@ -88,7 +88,8 @@
         self.record(ReplyCode::CloseIdleConnections, &[&endpoint_bytes(endpoint)]);
     }
 
-    /// The wire's ids stand for themselves, so there is nothing to forget.
+    /// Does nothing: the wire protocol uses the endpoint ids directly, so the adapter keeps no state for
+    /// them.
     fn forget_endpoint(&mut self, _endpoint: EndpointId) {}
 
     fn wake_after(&mut self, span: Duration) {
--- a/crates/simulation-adapter/src/session.rs
+++ b/crates/simulation-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! The instances of the decisions and what they share, from frame to frame.
+//! The running policy instances and the state that they share, kept from frame to frame.
 
 use crate::decode::{decode_attempt_end, decode_list_change, decode_submission, decode_withdrawal};
 use crate::error::AdapterError;
@@ -10,27 +10,27 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A record for an instance, read up to the fields that say whose it is.
+/// A record for an instance, read up to and including the fields that identify the instance and the list.
 struct PendingRecord<'a> {
     code: RecordCode,
     fields: Cursor<'a>,
-    /// The list that the record names by its slot.
+    /// The list that the record refers to by its slot.
     list: Option<EndpointList>,
 }
 
-/// Records by the instance that they are for, each in the order in which they came.
+/// Records by instance, in the order in which they arrived.
 type PendingRecords<'a> = BTreeMap<u32, Vec<PendingRecord<'a>>>;
 
-/// An instance of the decisions.
+/// A running instance of the delivery policy.
 struct Instance {
     policy: DeliveryPolicy,
-    /// Its start on the wire's clock.
+    /// Time of its start on the wire's clock.
     started_at: WireTime,
-    /// Which value of an answer's report tells the rate limit, if any does.
+    /// Index of the rate limit in an answer's report, if the report has one.
     rate_limit_field: Option<usize>,
 }
 
-/// All that outlives a frame: the running instances and the endpoint lists by slot.
+/// State kept between frames: the running instances, and the endpoint lists by slot.
 #[derive(Default)]
 pub(crate) struct Session {
     instances: BTreeMap<u32, Instance>,
@@ -38,8 +38,8 @@
 }
 
 impl Session {
-    /// Sorts a frame's records by instance and plays one step of each.
-    pub(crate) fn play_frame(&mut self, frame: &[u8], reply: &mut Reply) -> Result<(), AdapterError> {
+    /// Groups a frame's records by instance and runs one step of each instance.
+    pub(crate) fn process_frame(&mut self, frame: &[u8], reply: &mut Reply) -> Result<(), AdapterError> {
         let mut header = Cursor::new(frame, "frame");
         let clock = WireTime(header.u64("clock")?);
         let records = header.u32("number of records")?;
@@ -49,11 +49,11 @@
             let length = header.u32("record length")?;
             let body = header.bytes(length as usize, "record")?;
             if let Some(code) = RecordCode::from_wire(code) {
-                self.take_record(clock, code, Cursor::new(body, code.wire_name()), &mut pending)?;
+                self.handle_record(clock, code, Cursor::new(body, code.wire_name()), &mut pending)?;
             }
         }
         for (id, records) in pending {
-            // What names an instance that does not run is ignored.
+            // Records for an instance that is not running are ignored.
             if let Some(instance) = self.instances.get_mut(&id) {
                 reply.begin_instance(id);
                 instance.step(clock, records, reply)?;
@@ -62,8 +62,9 @@
         Ok(())
     }
 
-    /// Carries out what concerns the session; keeps what is for an instance until its step.
-    fn take_record<'a>(
+    /// Handles a record for the session immediately; stores a record for an instance until the instance's
+    /// step.
+    fn handle_record<'a>(
         &mut self,
         clock: WireTime,
         code: RecordCode,
@@ -84,7 +85,7 @@
             RecordCode::ListChanged => {
                 let id = fields.u32("relayId")?;
                 let slot = fields.u8("slot")?;
-                // A later list may come into the same slot: this change means the one that is there now.
+                // A later record may replace the list in the slot; this change refers to the current one.
                 let list = self.lists.get(usize::from(slot)).cloned().flatten();
                 pending.entry(id).or_default().push(PendingRecord { code, fields, list });
             }
@@ -104,14 +105,14 @@
         let slot = fields.u8("slot")?;
         let entries = fields.u32("items")? as usize;
         let entries = fields.bytes(entries.saturating_mul(LIST_ENTRY_BYTES), "items")?;
-        let Some(place) = self.lists.get_mut(usize::from(slot)) else {
+        let Some(slot_list) = self.lists.get_mut(usize::from(slot)) else {
             return Err(AdapterError::UnknownSlot { slot });
         };
-        *place = Some(Rc::from(entries));
+        *slot_list = Some(Rc::from(entries));
         Ok(())
     }
 
-    /// Starts an instance in place of an earlier one with the same id.
+    /// Starts an instance. It replaces an earlier one with the same id.
     fn start_instance(&mut self, clock: WireTime, mut fields: Cursor<'_>) -> Result<u32, AdapterError> {
         let id = fields.u32("relayId")?;
         let seed = fields.u64("prng")?;
@@ -148,7 +149,7 @@
         Ok(())
     }
 
-    /// Decodes a record into the inputs that it stands for.
+    /// Decodes a record into policy inputs.
     fn decode(&self, record: PendingRecord<'_>, inputs: &mut Vec<Input>) -> Result<(), AdapterError> {
         let fields = record.fields;
         match record.code {
@@ -156,7 +157,8 @@
             RecordCode::AttemptEnded => decode_attempt_end(fields, self.rate_limit_field, inputs)?,
             RecordCode::Withdrawn => inputs.push(decode_withdrawal(fields)?),
             RecordCode::ListChanged => decode_list_change(fields, record.list, inputs)?,
-            // A timer only calls for a step; the rest is no instance's.
+            // A timer only triggers a step, and the policy uses no samples. The other records are for the
+            // session.
             RecordCode::Timer
             | RecordCode::Sample
             | RecordCode::Start
--- a/crates/simulation-adapter/src/tests.rs
+++ b/crates/simulation-adapter/src/tests.rs
@@ -1,9 +1,9 @@
-//! What the adapter says of bad input, word for word, and what it ignores.
+//! The adapter's replies, its error messages for invalid input, and the records that it ignores.
 
 use super::serve;
 use test_case::test_case;
 
-/// The codes of the wire's records, as its documents number them.
+// Record codes as defined by the wire protocol.
 const HELLO: u16 = 256;
 const ROSTER_CHANGE: u16 = 258;
 const OUTCOME: u16 = 261;
@@ -12,7 +12,7 @@
 
 const RELAY: [u8; 4] = [7, 0, 0, 0];
 
-/// The least settings with which an instance starts.
+/// The minimal settings with which an instance starts.
 const OPTIONS: &str = include_str!("tests/options.txt");
 
 fn frame(records: &[(u16, Vec<u8>)]) -> Vec<u8> {
@@ -45,44 +45,44 @@
     (ROSTER_CHANGE, body(&[&RELAY, &[3], &[0; 8], &[0]]))
 }
 
-fn answer(input: &[u8]) -> Result<Vec<u8>, String> {
+fn reply_to(input: &[u8]) -> Result<Vec<u8>, String> {
     let mut output = Vec::new();
     serve(&mut &*input, &mut output).map_err(|error| error.to_string())?;
     Ok(output)
 }
 
-/// A reply without records, as it goes out.
+/// A reply without records.
 const EMPTY_REPLY: [u8; 4] = [0; 4];
 
 #[test]
-fn no_input_gets_no_reply() {
-    assert_eq!(answer(&[]), Ok(Vec::new()));
+fn empty_input_gets_no_reply() {
+    assert_eq!(reply_to(&[]), Ok(Vec::new()));
 }
 
 #[test]
-fn an_unknown_record_and_an_instance_that_does_not_run_are_ignored() {
+fn records_of_unknown_type_or_for_unknown_instances_are_ignored() {
     let records = [(UNKNOWN, vec![1, 2, 3]), outcome(200), roster_change()];
-    assert_eq!(answer(&frame(&records)), Ok(EMPTY_REPLY.to_vec()));
+    assert_eq!(reply_to(&frame(&records)), Ok(EMPTY_REPLY.to_vec()));
 }
 
 #[test]
-fn a_started_instance_answers_in_its_name() {
-    let output = answer(&frame(&[hello(OPTIONS.as_bytes()), (262, RELAY.to_vec())])).expect("a reply");
+fn reply_records_name_their_instance() {
+    let output = reply_to(&frame(&[hello(OPTIONS.as_bytes()), (262, RELAY.to_vec())])).expect("a reply");
     assert_eq!(output.len() - 4, u32::from_le_bytes(output[..4].try_into().expect("a length")) as usize);
-    // Each record: its code, its length, and the instance first in its body.
+    // A record consists of its code, its length and its body, which starts with the instance.
     assert_eq!(output[10..14], RELAY);
 }
 
 #[test_case(vec![1, 2] => "frame: input ends after 2 of 4 bytes of its length"; "length cut off")]
 #[test_case(vec![20, 0, 0, 0, 1] => "frame: input ends after 1 of 20 bytes"; "frame cut off")]
 #[test_case(vec![3, 0, 0, 0, 1, 2, 3] => "frame: 3 bytes, too short for its header"; "no header")]
-#[test_case(frame(&[(ROSTER, vec![16, 0, 0, 0, 0])]) => "ROSTER: slot 16 is over 15"; "a slot too many")]
-#[test_case(frame(&[(ROSTER, vec![1, 2, 0, 0, 0])]) => "ROSTER: items wants 48 bytes, 0 are left"; "list cut off")]
-#[test_case(frame(&[(OUTCOME, vec![1, 2])]) => "OUTCOME: relayId wants 4 bytes, 2 are left"; "no instance")]
+#[test_case(frame(&[(ROSTER, vec![16, 0, 0, 0, 0])]) => "ROSTER: slot 16 is greater than 15"; "slot out of range")]
+#[test_case(frame(&[(ROSTER, vec![1, 2, 0, 0, 0])]) => "ROSTER: items needs 48 bytes, 0 remain"; "list cut off")]
+#[test_case(frame(&[(OUTCOME, vec![1, 2])]) => "OUTCOME: relayId needs 4 bytes, 2 remain"; "no instance")]
 #[test_case(frame(&[hello(&[0xff])]) => "HELLO: options are not UTF-8"; "settings not text")]
 #[test_case(frame(&[hello(b"")]) => "HELLO: setting classes.count is missing"; "settings missing")]
-#[test_case(frame(&[hello(OPTIONS.as_bytes()), outcome(8)]) => "OUTCOME: code 8 is not known"; "unknown outcome")]
-#[test_case(frame(&[hello(OPTIONS.as_bytes()), roster_change()]) => "ROSTER_CHANGE: names a list that has not come"; "no list")]
-fn bad_input_is_told_in_one_line(input: Vec<u8>) -> String {
-    answer(&input).expect_err("an error")
+#[test_case(frame(&[hello(OPTIONS.as_bytes()), outcome(8)]) => "OUTCOME: unknown code 8"; "unknown outcome")]
+#[test_case(frame(&[hello(OPTIONS.as_bytes()), roster_change()]) => "ROSTER_CHANGE: the slot holds no list"; "no list")]
+fn invalid_input_is_reported_in_one_line(input: Vec<u8>) -> String {
+    reply_to(&input).expect_err("an error")
 }
--- a/crates/simulation-adapter/src/wire.rs
+++ b/crates/simulation-adapter/src/wire.rs
@@ -1,23 +1,23 @@
-//! The simulator's wire: record codes, and the fields of a record.
+//! The simulator's wire protocol: record codes, and the fields of a record.
 
 use crate::error::AdapterError;
 use mountshift::interface::EndpointId;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of the length that opens a frame, of the input and of a reply.
+/// Size in bytes of the length at the start of a frame and of a reply.
 pub(crate) const LENGTH_BYTES: usize = size_of::<u32>();
-/// Slots that hold endpoint lists, as the wire defines.
+/// Number of slots for endpoint lists, as defined by the wire protocol.
 pub(crate) const LIST_SLOTS: usize = 16;
-/// Bytes of an entry of an endpoint list, as the wire defines.
+/// Size in bytes of an entry of an endpoint list, as defined by the wire protocol.
 pub(crate) const LIST_ENTRY_BYTES: usize = 24;
-/// Bytes of an endpoint's id on the wire, the low ones first.
+/// Size in bytes of an endpoint's id on the wire, which is little-endian.
 pub(crate) const ENDPOINT_ID_BYTES: usize = 6;
 
-/// The entries of an endpoint list as they came.
+/// The encoded entries of an endpoint list.
 pub(crate) type EndpointList = Rc<[u8]>;
 
-/// A time of the wire's clock, in microseconds.
+/// A time on the wire's clock, in microseconds.
 #[derive(Clone, Copy)]
 pub(crate) struct WireTime(pub(crate) u64);
 
@@ -27,31 +27,31 @@
     }
 }
 
-/// The records of a frame that the adapter reads.
+/// Types of the records that the adapter reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecordCode {
-    /// An instance of the decisions starts.
+    /// Starts a policy instance.
     Start,
-    /// Its endpoint list changed.
+    /// The endpoint list of an instance changed.
     ListChanged,
-    /// An instance stops.
+    /// Stops an instance.
     Stop,
-    /// A message was withdrawn by its client.
+    /// The client withdrew a message.
     Withdrawn,
     /// An attempt ended.
     AttemptEnded,
-    /// The time for which an instance asked to be woken has come.
+    /// The timer that an instance requested has expired.
     Timer,
-    /// An endpoint list, to which later list changes refer by its slot.
+    /// An endpoint list. Later list changes refer to it by its slot.
     EndpointList,
-    /// A sample of an endpoint's load, which the decisions don't read.
+    /// A sample of an endpoint's load, which the policy does not use.
     Sample,
     /// A message was submitted.
     Submitted,
 }
 
 impl RecordCode {
-    /// None for records that the adapter skips.
+    /// Returns the type for a code, or `None` if the adapter skips such records.
     pub(crate) fn from_wire(code: u16) -> Option<RecordCode> {
         match code {
             256 => Some(RecordCode::Start),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The record's name in the wire's words, for error messages.
+    /// Returns the name of the record in the wire protocol, for error messages.
     pub(crate) fn wire_name(self) -> &'static str {
         match self {
             RecordCode::Start => "HELLO",
@@ -83,36 +83,36 @@
     }
 }
 
-/// Takes fields off the front of a record, in order; an error says what is missing and where.
+/// Reads the fields of a record in order. An error names the missing field and its record.
 #[derive(Clone)]
 pub(crate) struct Cursor<'a> {
-    left: &'a [u8],
+    remaining: &'a [u8],
     record: &'static str,
 }
 
 impl<'a> Cursor<'a> {
-    /// A cursor over the bytes of the record with this name.
+    /// Creates a cursor over the bytes of the record with this name.
     pub(crate) fn new(bytes: &'a [u8], record: &'static str) -> Cursor<'a> {
-        Cursor { left: bytes, record }
+        Cursor { remaining: bytes, record }
     }
 
-    fn missing(&self, field: &'static str, wanted: usize) -> AdapterError {
-        AdapterError::MissingField { record: self.record, field, wanted, left: self.left.len() }
+    fn missing(&self, field: &'static str, needed: usize) -> AdapterError {
+        AdapterError::MissingField { record: self.record, field, needed, remaining: self.remaining.len() }
     }
 
-    pub(crate) fn bytes(&mut self, wanted: usize, field: &'static str) -> Result<&'a [u8], AdapterError> {
-        let Some((taken, left)) = self.left.split_at_checked(wanted) else {
-            return Err(self.missing(field, wanted));
+    pub(crate) fn bytes(&mut self, needed: usize, field: &'static str) -> Result<&'a [u8], AdapterError> {
+        let Some((taken, remaining)) = self.remaining.split_at_checked(needed) else {
+            return Err(self.missing(field, needed));
         };
-        self.left = left;
+        self.remaining = remaining;
         Ok(taken)
     }
 
     fn array<const N: usize>(&mut self, field: &'static str) -> Result<[u8; N], AdapterError> {
-        let Some((taken, left)) = self.left.split_first_chunk::<N>() else {
+        let Some((taken, remaining)) = self.remaining.split_first_chunk::<N>() else {
             return Err(self.missing(field, N));
         };
-        self.left = left;
+        self.remaining = remaining;
         Ok(*taken)
     }
 
