--- a/crates/discovery/src/drain_record.rs
+++ b/crates/discovery/src/drain_record.rs
@@ -85,7 +85,8 @@
 impl Drain {
     /// Returns whether an entry that lists the endpoint as ready is newer than the drain. Revisions of one
     /// source increase; those of two sources can't be compared, so a list of another source ends the drain
-    /// only if it is a list of changes. An endpoint that started after the drain is ready again in any case.
+    /// only if it is a list of changes. An endpoint that started after the drain was started
+    /// to serve, which ends the drain in any case.
     fn is_ended_by(&self, list: &ListHeader, entry: &ListEntry) -> bool {
         let is_newer = if list.source == self.source { list.revision > self.revision } else { !list.is_full };
         is_newer || entry.up_since_ms > self.at_ms
--- a/crates/handover/src/role.rs
+++ b/crates/handover/src/role.rs
@@ -49,19 +49,18 @@
     Successor,
 }
 
-/// Determines the role from the locks: `active_lock_taken` if this process acquired `lock`,
-/// `successor_lock_taken` if it acquired `next/lock`; `successor_spool_exists` if there is a
-/// `next/spool.log`.
+/// Determines the role from the locks: `has_active_lock` if this process acquired `lock`, `has_successor_lock`
+/// if it acquired `next/lock`; `has_successor_spool` if there is a `next/spool.log`.
 ///
 /// # Errors
 /// [`HandoverError::StateFolderTaken`] if other processes hold both locks.
 pub fn determine_role(
-    active_lock_taken: bool,
-    successor_lock_taken: bool,
-    successor_spool_exists: bool,
+    has_active_lock: bool,
+    has_successor_lock: bool,
+    has_successor_spool: bool,
 ) -> Result<Role, HandoverError> {
-    match (active_lock_taken, successor_lock_taken) {
-        (true, true) if successor_spool_exists => Ok(Role::Active(PreviousSuccessor::LeftMessages)),
+    match (has_active_lock, has_successor_lock) {
+        (true, true) if has_successor_spool => Ok(Role::Active(PreviousSuccessor::LeftMessages)),
         (true, true) => Ok(Role::Active(PreviousSuccessor::None)),
         (true, false) => Ok(Role::Active(PreviousSuccessor::Running)),
         (false, true) => Ok(Role::Successor),
--- a/crates/handover/src/stop_plan.rs
+++ b/crates/handover/src/stop_plan.rs
@@ -33,6 +33,6 @@
 };
 
 /// Returns the plan for a stop: a handover if a successor is running, a restart otherwise.
-pub fn stop_plan(successor_present: bool) -> StopPlan {
-    if successor_present { HANDOVER } else { RESTART }
+pub fn stop_plan(has_successor: bool) -> StopPlan {
+    if has_successor { HANDOVER } else { RESTART }
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -38,9 +38,7 @@
             "dialTimeout": 1_500_000},
         "obligations": {"coldFrom": 0.28, "warmAfter": 13_000_000, "fallMultiple": 1.5, "fall": 2_000_000}});
     let (text, json) = (FlatSettings::from_text(TEXT), FlatSettings::from_json(&json));
-    let read = |flat_settings| {
-        policy_settings(flat_settings, relay_id(flat_settings).expect("a number"), 9).expect("settings")
-    };
+    let read = |flat| policy_settings(flat, relay_id(flat).expect("a number"), 9).expect("settings");
     assert_eq!(format!("{:?}", read(&json)), format!("{:?}", read(&text)));
     assert_eq!(format!("{:?}", socket_settings(&json)), format!("{:?}", socket_settings(&text)));
     let (policy, sockets) = (read(&json), socket_settings(&json).expect("settings"));
@@ -83,8 +81,8 @@
         ("classes.count=2", "classes.count=0", "setting classes.count=0 must be at least 1"),
         ("=at_most_once", "=sometimes", "setting classes.1.idempotency=sometimes is not known"),
     ] {
-        let flat_settings = FlatSettings::from_text(&TEXT.replacen(from, to, 1));
-        assert_eq!(policy_settings(&flat_settings, RelayId(0), 1).expect_err(expected).to_string(), expected);
+        let flat = FlatSettings::from_text(&TEXT.replacen(from, to, 1));
+        assert_eq!(policy_settings(&flat, RelayId(0), 1).expect_err(expected).to_string(), expected);
     }
 }
 
@@ -114,8 +112,8 @@
 // A latency objective beyond the deadline has no effect: a message keeps its full value up to the deadline.
 #[test]
 fn latency_objective_is_limited_to_the_deadline() {
-    let flat_settings = FlatSettings::from_text(&TEXT.replacen("classes.1.aim=1\n", "classes.1.aim=9\n", 1));
-    let class = policy_settings(&flat_settings, RelayId(0), 1).expect("settings").classes[1];
+    let flat = FlatSettings::from_text(&TEXT.replacen("classes.1.aim=1\n", "classes.1.aim=9\n", 1));
+    let class = policy_settings(&flat, RelayId(0), 1).expect("settings").classes[1];
     assert_eq!(class.latency_objective, class.deadline);
 }
 
