--- a/crates/relay/src/dispatch/dependencies.rs
+++ b/crates/relay/src/dispatch/dependencies.rs
@@ -50,7 +50,7 @@
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) violations: Rc<Violations>,
     /// Closed once client connections are to go.
-    pub(crate) clients_leave: Receiver<()>,
+    pub(crate) clients_stopping: Receiver<()>,
     /// Closed by the dispatcher shortly before the end: clients hear the answers they are owed, nothing more is read.
-    pub(crate) clients_end: Sender<()>,
+    pub(crate) clients_ending: Sender<()>,
 }
--- a/crates/relay/src/dispatch/event.rs
+++ b/crates/relay/src/dispatch/event.rs
@@ -27,7 +27,7 @@
     /// Discovery told the endpoint list or an update; or a poll failed, with a `Retry-After` if one was told.
     EndpointList(Result<EndpointList, Option<Duration>>),
     /// The platform took the notifications of these messages.
-    NotificationsTaken(Vec<MessageId>),
+    NotificationsAcknowledged(Vec<MessageId>),
     /// An operator's command changed the maintenance.
     MaintenanceChanged(Change),
     /// The process was told to stop, in this way.
--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -27,7 +27,7 @@
                 self.reachability_questions.push(ReachabilityQuestion { endpoint, address, reply_to });
             }
             Event::EndpointList(result) => self.on_poll_ended(result, inputs),
-            Event::NotificationsTaken(messages) => self.on_notifications_taken(messages, inputs),
+            Event::NotificationsAcknowledged(messages) => self.on_acknowledged(messages, inputs),
             Event::MaintenanceChanged(change) => self.on_maintenance_changed(change, inputs),
             Event::StopRequested(plan) => self.on_stop_requested(plan, inputs),
         }
@@ -248,7 +248,7 @@
         }
     }
 
-    fn on_notifications_taken(&mut self, messages: Vec<MessageId>, inputs: &mut Vec<Input>) {
+    fn on_acknowledged(&mut self, messages: Vec<MessageId>, inputs: &mut Vec<Input>) {
         for message in messages {
             self.remember_ended(message);
             self.close_message(message, inputs);
--- a/crates/relay/src/dispatch/mod.rs
+++ b/crates/relay/src/dispatch/mod.rs
@@ -47,9 +47,9 @@
     /// Client connections open now.
     client_connections: Rc<Cell<usize>>,
     /// Closed once client connections are to go.
-    clients_leave: Receiver<()>,
+    clients_stopping: Receiver<()>,
     /// Closed shortly before the end: clients hear the answers they are owed, nothing more is read.
-    clients_end: Sender<()>,
+    clients_ending: Sender<()>,
 }
 
 impl Dispatcher {
@@ -64,8 +64,8 @@
             idle_checked_at: Instant::now(),
             orphans_checked_at: Instant::now(),
             client_connections: dependencies.client_connections.clone(),
-            clients_leave: dependencies.clients_leave.clone(),
-            clients_end: dependencies.clients_end.clone(),
+            clients_stopping: dependencies.clients_stopping.clone(),
+            clients_ending: dependencies.clients_ending.clone(),
             state: DispatcherState::new(dependencies, clock),
         };
         let mut inputs = Vec::new();
--- a/crates/relay/src/dispatch/shutdown.rs
+++ b/crates/relay/src/dispatch/shutdown.rs
@@ -56,7 +56,7 @@
         if stop.elapsed >= stop.plan.exit_timeout {
             return true;
         }
-        let clients_gone = self.clients_leave.is_closed() && self.client_connections.get() == 0;
+        let clients_gone = self.clients_stopping.is_closed() && self.client_connections.get() == 0;
         let nothing_in_flight = self.state.calls_in_flight.is_empty();
         clients_gone && nothing_in_flight && (stop.may_leave_messages() || !self.state.holds_messages())
     }
@@ -65,7 +65,7 @@
     /// that the spool does not know would be sent again, and so would a message in the spool whose client never heard
     /// and submits it again.
     pub(super) async fn finish(mut self) {
-        self.clients_end.close();
+        self.clients_ending.close();
         let mut rounds = FinalRounds::begin();
         loop {
             rounds.next().await;
--- a/crates/relay/src/startup/tasks.rs
+++ b/crates/relay/src/startup/tasks.rs
@@ -142,7 +142,7 @@
     fn spawn_notifier(&self, config: &StartConfig, moves: Receiver<SocketAddr>) {
         let notifier = Notifier::new(config.discovery, moves, self.notifications.1.clone());
         let events = self.events.0.clone();
-        let on_taken = move |messages| drop(events.try_send(Event::NotificationsTaken(messages)));
+        let on_taken = move |messages| drop(events.try_send(Event::NotificationsAcknowledged(messages)));
         self.executor.spawn(notifier.run(on_taken)).detach();
     }
 
