--- a/crates/relay/src/dispatch/calls.rs
+++ b/crates/relay/src/dispatch/calls.rs
@@ -1,7 +1,7 @@
 //! Carries out what a step decided: commits the spool, answers clients, starts calls.
 
 use super::event::{CallNumber, Event};
-use super::key_rests::KeyRests;
+use super::key_hold_offs::KeyHoldOffs;
 use super::state::{CallInFlight, DispatcherState, PendingAttempt};
 use crate::clients::SubmissionMetadata;
 use crate::metrics::Metrics;
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// Messages in one call to an endpoint of a kind that the settings don't name.
-const DEFAULT_BATCH: usize = 1;
+const DEFAULT_MAX_BATCH: usize = 1;
 
 /// A call that the step decided and that has not begun.
 struct PlannedCall {
@@ -36,17 +36,17 @@
 }
 
 /// The guard of the verb "send": asks the rules again right before the first byte of a call.
-struct BeginGuard {
+struct SendGuard {
     policy: Rc<RefCell<DeliveryPolicy>>,
     metrics: Rc<Metrics>,
     violations: Rc<Violations>,
-    key_rests: Rc<KeyRests>,
+    key_hold_offs: Rc<KeyHoldOffs>,
     order_hold_off: Duration,
     call: CallNumber,
     endpoint: EndpointId,
 }
 
-impl BeginGuard {
+impl SendGuard {
     /// How the attempt of a message ends if it must not begin now.
     fn check(&self, spool: &Spool, message: MessageId, now: Duration) -> Result<(), Outcome> {
         let Err(refusal) = self.policy.borrow().check_before_send(message, self.endpoint, now) else {
@@ -60,7 +60,7 @@
             }
             SendError::OutOfOrder => {
                 let turn = self.policy.borrow().ordering_state(message, now);
-                let expected = format!("its turn, is {}", turn_text(spool, turn));
+                let expected = format!("its turn, is {}", describe_ordering_state(spool, turn));
                 self.report(ViolationKind::OutOfTurn, spool, message, &expected);
             }
             _ => {}
@@ -69,9 +69,9 @@
     }
 
     /// Measures how long the key of a message that goes out now has rested.
-    fn measure_rest(&self, spool: &Spool, message: MessageId, now: Duration) {
+    fn measure_hold_off(&self, spool: &Spool, message: MessageId, now: Duration) {
         let Some(key) = self.policy.borrow().ordering_key(message) else { return };
-        let Some(rest) = self.key_rests.end(key, message) else { return };
+        let Some(rest) = self.key_hold_offs.end(key, message) else { return };
         let gap = now.saturating_sub(rest.since);
         self.metrics.observe_key_gap(gap);
         let earlier = String::from_utf8_lossy(&rest.id).into_owned();
@@ -91,7 +91,7 @@
 }
 
 /// A turn as log lines tell it, with the client's id of the other message.
-fn turn_text(spool: &Spool, turn: Option<OrderingState>) -> String {
+fn describe_ordering_state(spool: &Spool, turn: Option<OrderingState>) -> String {
     let id_of = |message: MessageId| {
         let stored = spool.get(message.0);
         stored.map_or_else(|| "-".into(), |stored| String::from_utf8_lossy(&stored.accepted.id).into_owned())
@@ -120,7 +120,7 @@
         self.answer_clients(is_committed);
         self.release_notifications(is_committed);
         for call in calls {
-            self.begin_call(call, is_committed);
+            self.start_call(call, is_committed);
         }
     }
 
@@ -130,7 +130,7 @@
         for sends in std::mem::take(&mut self.pending_sends) {
             let Some(endpoint) = self.endpoints.get(sends.endpoint) else { continue };
             let kind = endpoint.kind.0 as usize;
-            let max_batch = self.max_batches.get(kind).copied().unwrap_or(DEFAULT_BATCH);
+            let max_batch = self.max_batches.get(kind).copied().unwrap_or(DEFAULT_MAX_BATCH);
             for attempts in self.split_into_calls(&sends.attempts, max_batch) {
                 calls.push(PlannedCall { to: sends.endpoint, endpoint: endpoint.clone(), attempts });
             }
@@ -215,14 +215,14 @@
     }
 
     /// Starts a call. While the spool can't be written only what need not be recorded is sent; the rest waits.
-    fn begin_call(&mut self, planned: PlannedCall, is_committed: bool) {
+    fn start_call(&mut self, planned: PlannedCall, is_committed: bool) {
         self.last_call_number += 1;
         let number = CallNumber(self.last_call_number);
         let endpoint = planned.to;
         let messages: BTreeSet<MessageId> = planned.messages().collect();
         let stage = Rc::new(Cell::new(CallStage::Connecting));
-        let may_begin = is_committed || self.may_go_unrecorded(&planned);
-        let task = if may_begin {
+        let may_start = is_committed || self.may_send_without_record(&planned);
+        let task = if may_start {
             Some(self.spawn_call(number, planned, stage.clone()))
         } else {
             let results = CallResult::same_for_all(
@@ -240,7 +240,7 @@
     }
 
     /// True if all messages of the call may be sent though the spool can't be written: none was rejected for that.
-    fn may_go_unrecorded(&self, planned: &PlannedCall) -> bool {
+    fn may_send_without_record(&self, planned: &PlannedCall) -> bool {
         let spool = self.spool.borrow();
         planned.attempts.iter().all(|attempt| !attempt.needs_record && spool.get(attempt.message.0).is_some())
     }
@@ -268,7 +268,7 @@
             connect_timeout: self.settings.connect_timeout,
             // By the clock that the decision was taken by: a commit that took long is part of the delay.
             decided_at: self.clock.instant(self.now),
-            may_still_send: self.reachability_check(planned.to, address),
+            request_send_permission: self.send_permission_requester(planned.to, address),
             record_attempts: self.attempt_recorder(number, planned.to, planned.attempts, zone),
             number: number.0,
             stage,
@@ -285,7 +285,7 @@
     }
 
     /// What a call that begins late asks before it is sent: the next step answers.
-    fn reachability_check(
+    fn send_permission_requester(
         &self,
         endpoint: EndpointId,
         address: SocketAddr,
@@ -293,7 +293,7 @@
         let events = self.events.clone();
         Box::new(move || {
             let (reply_to, answer) = async_channel::bounded(1);
-            let _ = events.try_send(Event::ReachabilityAsked { endpoint, address, reply_to });
+            let _ = events.try_send(Event::SendPermissionRequested { endpoint, address, reply_to });
             answer
         })
     }
@@ -307,11 +307,11 @@
         attempts: Vec<PendingAttempt>,
         zone: String,
     ) -> Box<dyn Fn() -> Result<(), Outcome>> {
-        let guard = BeginGuard {
+        let guard = SendGuard {
             policy: self.policy.clone(),
             metrics: self.metrics.clone(),
             violations: self.violations.clone(),
-            key_rests: self.key_rests.clone(),
+            key_hold_offs: self.key_hold_offs.clone(),
             order_hold_off: self.order_hold_off,
             call,
             endpoint,
@@ -322,17 +322,17 @@
             let mut spool = spool.borrow_mut();
             let now = clock.now();
             let at_ms = clock.unix_ms(now);
-            let is_wanted = |attempt: &PendingAttempt| {
+            let is_open = |attempt: &PendingAttempt| {
                 spool.get(attempt.message.0).is_some_and(|stored| stored.pending_outcome.is_none())
             };
-            if !attempts.iter().all(is_wanted) {
+            if !attempts.iter().all(is_open) {
                 return Err(Outcome::NotSent);
             }
             for attempt in &attempts {
                 guard.check(&spool, attempt.message, now)?;
             }
             for attempt in &attempts {
-                guard.measure_rest(&spool, attempt.message, now);
+                guard.measure_hold_off(&spool, attempt.message, now);
             }
             let numbers: Vec<u64> = attempts.iter().map(|attempt| attempt.message.0).collect();
             if spool.record_and_commit_attempts(&numbers, &zone, at_ms).is_ok() {
--- a/crates/relay/src/dispatch/ended_ids.rs
+++ b/crates/relay/src/dispatch/ended_ids.rs
@@ -6,7 +6,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Ids that are remembered: enough for a client that submits again late, and bounded.
-const MAX_REMEMBERED: usize = 4_096;
+const MAX_IDS: usize = 4_096;
 
 /// What is known of an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,9 +29,9 @@
 pub(super) struct EndedIds(VecDeque<EndedId>);
 
 impl EndedIds {
-    pub(super) fn remember(&mut self, id: &[u8], content: &MessageContent<'_>) {
+    pub(super) fn insert(&mut self, id: &[u8], content: &MessageContent<'_>) {
         self.0.push_back(EndedId { id: hash(id), content: hash_content(content) });
-        if self.0.len() > MAX_REMEMBERED {
+        if self.0.len() > MAX_IDS {
             self.0.pop_front();
         }
     }
--- a/crates/relay/src/dispatch/ended_ids_tests.rs
+++ b/crates/relay/src/dispatch/ended_ids_tests.rs
@@ -8,7 +8,7 @@
         (metadata("c=pay,d=9000,dest=7"), metadata("c=pay,d=7000,dest=7"), metadata("c=any,d=9000,dest=7"));
     let content = |key, metadata, body| MessageContent { key, metadata, body };
     let mut ended = EndedIds::default();
-    ended.remember(b"m1", &content(5, &own, b"x"));
+    ended.insert(b"m1", &content(5, &own, b"x"));
     assert_eq!(ended.find(b"m2", &content(5, &own, b"x")), IdUse::Unused);
     assert_eq!(ended.find(b"m1", &content(5, &later, b"x")), IdUse::SameMessage);
     for other in [content(6, &own, b"x"), content(5, &other, b"x"), content(5, &own, b"y")] {
@@ -21,8 +21,8 @@
     let metadata = SubmissionMetadata::parse("c=pay,d=9000,dest=7").expect("metadata");
     let content = MessageContent { key: 5, metadata: &metadata, body: b"x" };
     let mut ended = EndedIds::default();
-    for number in 0..=MAX_REMEMBERED {
-        ended.remember(number.to_string().as_bytes(), &content);
+    for number in 0..=MAX_IDS {
+        ended.insert(number.to_string().as_bytes(), &content);
     }
     assert_eq!(ended.find(b"0", &content), IdUse::Unused);
     assert_eq!(ended.find(b"1", &content), IdUse::SameMessage);
--- a/crates/relay/src/dispatch/endpoint_list.rs
+++ b/crates/relay/src/dispatch/endpoint_list.rs
@@ -18,13 +18,13 @@
         for entry in &list.entries {
             self.maintenance.borrow_mut().record_listed_endpoint(&entry.id);
             // Rule 1: an endpoint gets the messages of its own destination alone.
-            if let Some(retired) = self.endpoints.retire_if_another(entry) {
+            if let Some(retired) = self.endpoints.retire_replaced_endpoint(entry) {
                 self.idle_connections.close_endpoint(retired);
                 let removed = self.listed_endpoint(retired, EndpointStatus::Removed);
                 inputs.extend(removed.map(Input::EndpointListed));
             }
             let update = self.endpoints.update(entry);
-            if update.address_left {
+            if update.has_left_address {
                 self.idle_connections.close_endpoint(update.endpoint);
             }
             let status = self.status_under_maintenance(&entry.id, update.status);
--- a/crates/relay/src/dispatch/event.rs
+++ b/crates/relay/src/dispatch/event.rs
@@ -23,7 +23,7 @@
     /// Attempts of a call ended.
     AttemptsEnded { call: CallNumber, results: CallResult },
     /// A call begins late: may it still be sent to the endpoint, at this address?
-    ReachabilityAsked { endpoint: EndpointId, address: SocketAddr, reply_to: Sender<bool> },
+    SendPermissionRequested { endpoint: EndpointId, address: SocketAddr, reply_to: Sender<bool> },
     /// Discovery told the endpoint list or an update; or a poll failed, with a `Retry-After` if one was told.
     EndpointList(Result<EndpointList, Option<Duration>>),
     /// The platform took the notifications of these messages.
--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -2,8 +2,8 @@
 
 use super::ended_ids::IdUse;
 use super::event::{CallNumber, Event};
-use super::key_rests::KeyRest;
-use super::state::{DispatcherState, ReachabilityQuestion};
+use super::key_hold_offs::KeyHoldOff;
+use super::state::{DispatcherState, SendPermissionRequest};
 use crate::clients::{ClientSubmission, SubmissionError, SubmissionReply};
 use crate::discovery::EndpointList;
 use crate::upstream::{self, AttemptResult, CallResult, CallStage};
@@ -23,8 +23,8 @@
             }
             Event::ClientUnreachable(message) => self.on_client_unreachable(message, inputs),
             Event::AttemptsEnded { call, results } => self.on_attempts_ended(call, results, inputs),
-            Event::ReachabilityAsked { endpoint, address, reply_to } => {
-                self.reachability_questions.push(ReachabilityQuestion { endpoint, address, reply_to });
+            Event::SendPermissionRequested { endpoint, address, reply_to } => {
+                self.send_permission_requests.push(SendPermissionRequest { endpoint, address, reply_to });
             }
             Event::EndpointList(result) => self.on_poll_ended(result, inputs),
             Event::NotificationsAcknowledged(messages) => self.on_acknowledged(messages, inputs),
@@ -50,7 +50,7 @@
             .is_some_and(|stored| stored.attempts.iter().any(|attempt| attempt.may_have_run));
         // Under its id it must not be sent once more.
         if may_have_run {
-            self.remember_ended(message);
+            self.record_ended_id(message);
         }
         self.close_message(message, inputs);
     }
@@ -62,7 +62,7 @@
         inputs: &mut Vec<Input>,
     ) {
         if let Some(message) = self.messages_by_id.get(&received.id).copied() {
-            return self.on_message_received_again(message, &received, reply_to);
+            return self.on_id_already_held(message, &received, reply_to);
         }
         let deadline = self.clock.since_start(received.received_at) + received.metadata.time_to_deadline;
         let submission = match self.check_message(&received, deadline) {
@@ -78,7 +78,7 @@
         };
         self.log_transition(message, "submitted", "held", "accepted");
         if submission.key.is_some() {
-            self.log_key_of(message);
+            self.log_ordering_key(message);
         }
         self.acceptances.add(message, reply_to);
         inputs.push(Input::Submitted { message, submission });
@@ -86,7 +86,7 @@
 
     /// A message of an id that is held. The id alone does not make it the one that is: told that it is accepted, the client
     /// of another one would wait for what nobody holds, and the next message of its key would go before it.
-    fn on_message_received_again(
+    fn on_id_already_held(
         &mut self,
         message: MessageId,
         received: &ClientSubmission,
@@ -117,7 +117,7 @@
         };
         let holds_earlier = self.successor_spool.may_hold_earlier();
         let is_in_order = self.is_in_order(&submission);
-        if !mountshift_handover::active_accepts(is_in_order, self.hands_over, holds_earlier) {
+        if !mountshift_handover::active_accepts(is_in_order, self.is_handing_over, holds_earlier) {
             debug!("message of key {:016x} is left to the successor", received.key);
             return Err(SubmissionReply::Rejected { retry_after_ms: 0 });
         }
@@ -137,7 +137,7 @@
     }
 
     /// The place of a message among those of its key is what on-call staff need to follow its order.
-    fn log_key_of(&self, message: MessageId) {
+    fn log_ordering_key(&self, message: MessageId) {
         let spool = self.spool.borrow();
         let Some(stored) = spool.get(message.0) else { return };
         let AcceptedMessage { id, key, .. } = &stored.accepted;
@@ -209,20 +209,20 @@
             self.spool.borrow_mut().record_not_processed(message.0);
         }
         if run == RunState::MayBeRunning {
-            self.note_key_rest(number, message, outcome);
+            self.record_key_hold_off(number, message, outcome);
         }
         if closed {
             if outcome == Outcome::Delivered {
                 self.metrics.count_final_answer("delivered");
             }
-            self.remember_ended(message);
+            self.record_ended_id(message);
             self.close_in_spool(message, ClosingAttempt::Ended(run));
         }
         inputs.push(Input::AttemptEnded { message, endpoint, elapsed, outcome, run, closed });
     }
 
     /// The decisions let the key of the message rest from here on. Counted and logged apart from them.
-    fn note_key_rest(&self, call: CallNumber, message: MessageId, outcome: Outcome) {
+    fn record_key_hold_off(&self, call: CallNumber, message: MessageId, outcome: Outcome) {
         let Some(key) = self.policy.borrow().ordering_key(message) else { return };
         let spool = self.spool.borrow();
         let Some(stored) = spool.get(message.0) else { return };
@@ -235,7 +235,7 @@
             call.0,
             outcome.name()
         );
-        self.key_rests.begin(key, KeyRest { message, id, call: call.0, since: self.now });
+        self.key_hold_offs.begin(key, KeyHoldOff { message, id, call: call.0, since: self.now });
     }
 
     fn on_poll_ended(&mut self, result: Result<EndpointList, Option<Duration>>, inputs: &mut Vec<Input>) {
@@ -250,7 +250,7 @@
 
     fn on_acknowledged(&mut self, messages: Vec<MessageId>, inputs: &mut Vec<Input>) {
         for message in messages {
-            self.remember_ended(message);
+            self.record_ended_id(message);
             self.close_message(message, inputs);
         }
     }
@@ -259,7 +259,7 @@
         self.maintenance.borrow_mut().set_stopping();
         // A successor takes over what is held: nothing more is sent from here.
         if plan.is_handover {
-            self.hands_over = true;
+            self.is_handing_over = true;
             self.files.raise_handover_marker();
             info!("hands over to the process beside it");
             inputs.push(Input::HandoverStarted);
--- a/crates/relay/src/dispatch/key_rests.rs
+++ b/crates/relay/src/dispatch/key_hold_offs.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 /// Rests remembered at most; the one that began first goes.
-const MAX_RESTS: usize = 1_024;
+const MAX_HOLD_OFFS: usize = 1_024;
 
 /// The end of an attempt that may still be running.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct KeyRest {
+pub(super) struct KeyHoldOff {
     pub(super) message: MessageId,
     /// The client's id of the message.
     pub(super) id: Vec<u8>,
@@ -23,21 +23,21 @@
 
 /// The latest rest of each key behind which no other message has gone out.
 #[derive(Debug, Default)]
-pub(super) struct KeyRests(RefCell<BTreeMap<OrderingKey, KeyRest>>);
+pub(super) struct KeyHoldOffs(RefCell<BTreeMap<OrderingKey, KeyHoldOff>>);
 
-impl KeyRests {
+impl KeyHoldOffs {
     /// Notes that a key rests from now on.
-    pub(super) fn begin(&self, key: OrderingKey, rest: KeyRest) {
+    pub(super) fn begin(&self, key: OrderingKey, rest: KeyHoldOff) {
         let mut rests = self.0.borrow_mut();
         rests.insert(key, rest);
-        if rests.len() > MAX_RESTS {
+        if rests.len() > MAX_HOLD_OFFS {
             let first = rests.iter().min_by_key(|(_, rest)| rest.since).map(|(key, _)| *key);
             first.and_then(|key| rests.remove(&key));
         }
     }
 
     /// The rest that ends with the first byte of this message; none if there is none, or it is the message's own.
-    pub(super) fn end(&self, key: OrderingKey, message: MessageId) -> Option<KeyRest> {
+    pub(super) fn end(&self, key: OrderingKey, message: MessageId) -> Option<KeyHoldOff> {
         let mut rests = self.0.borrow_mut();
         if rests.get(&key)?.message == message {
             return None;
@@ -47,5 +47,5 @@
 }
 
 #[cfg(test)]
-#[path = "key_rests_tests.rs"]
+#[path = "key_hold_offs_tests.rs"]
 mod tests;
--- a/crates/relay/src/dispatch/key_rests_tests.rs
+++ b/crates/relay/src/dispatch/key_hold_offs_tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn rest(message: u64, since: u64) -> KeyRest {
+fn rest(message: u64, since: u64) -> KeyHoldOff {
     let since = Duration::from_millis(since);
-    KeyRest { message: MessageId(message), id: b"m".to_vec(), call: 1, since }
+    KeyHoldOff { message: MessageId(message), id: b"m".to_vec(), call: 1, since }
 }
 
 #[test]
 fn a_rest_ends_with_the_next_message_of_its_key() {
-    let rests = KeyRests::default();
+    let rests = KeyHoldOffs::default();
     rests.begin(OrderingKey(5), rest(1, 10));
     assert_eq!(rests.end(OrderingKey(6), MessageId(2)), None, "another key");
     assert_eq!(rests.end(OrderingKey(5), MessageId(1)), None, "a repeat");
@@ -17,8 +17,8 @@
 
 #[test]
 fn rests_are_bounded() {
-    let rests = KeyRests::default();
-    for number in 0..=MAX_RESTS as u64 {
+    let rests = KeyHoldOffs::default();
+    for number in 0..=MAX_HOLD_OFFS as u64 {
         rests.begin(OrderingKey(number), rest(1, number));
     }
     assert_eq!(rests.end(OrderingKey(0), MessageId(2)), None, "the first one is gone");
--- a/crates/relay/src/dispatch/mod.rs
+++ b/crates/relay/src/dispatch/mod.rs
@@ -8,7 +8,7 @@
 mod endpoint_list;
 mod event;
 mod handlers;
-mod key_rests;
+mod key_hold_offs;
 mod restore;
 mod shutdown;
 mod state;
@@ -32,7 +32,7 @@
 /// Between two looks at idle connections: those that an endpoint closed are let go.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// A step so late means that the process did not run meanwhile.
-const PROCESS_PAUSE: Duration = Duration::from_millis(100);
+const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(100);
 /// After such a pause, the time for the other tasks to read what came meanwhile.
 const CATCH_UP_TIME: Duration = Duration::from_millis(20);
 
@@ -86,7 +86,7 @@
         self.idle_checked_at = Instant::now();
         loop {
             let events = self.next_events().await;
-            self.note_stop_request(&events);
+            self.record_stop_request(&events);
             if self.state.has_unwritten() || !self.state.closed_messages.is_empty() {
                 self.state.now = self.state.clock.now();
                 self.state.remove_closed_messages();
@@ -101,10 +101,10 @@
                 self.state.handle(event, &mut inputs);
             }
             let stop = self.stopping.map(Stopping::progress);
-            if stop.is_none_or(StopProgress::decides) {
+            if stop.is_none_or(StopProgress::should_run_policy) {
                 self.step(inputs);
             } else {
-                self.state.execute_without_deciding();
+                self.state.execute_without_policy();
             }
             if stop.is_some_and(|stop| self.is_done(stop)) {
                 return self.finish().await;
@@ -126,7 +126,7 @@
     /// Waits for an event, or until there is something to do without one. All that comes within the shortest gap
     /// between two steps comes together.
     async fn next_events(&mut self) -> Vec<Event> {
-        let look = self.next_look();
+        let look = self.next_check_at();
         let nothing_came = async {
             Timer::at(look).await;
             None
@@ -135,7 +135,7 @@
         let gap = self.state.settings.min_step_interval;
         Timer::at(self.state.clock.instant(self.state.now) + gap).await;
         // Rule 3, where the process did not run for a while: what was told meanwhile is read before a decision.
-        if Instant::now().saturating_duration_since(look + gap) > PROCESS_PAUSE {
+        if Instant::now().saturating_duration_since(look + gap) > PROCESS_STALL_THRESHOLD {
             Timer::after(CATCH_UP_TIME).await;
         }
         if self.idle_checked_at.elapsed() >= IDLE_CHECK_INTERVAL {
@@ -151,7 +151,7 @@
 
     /// When there is something to do without an event: a step that the decisions want, a look at idle connections, or
     /// one at what is left before the end.
-    fn next_look(&self) -> Instant {
+    fn next_check_at(&self) -> Instant {
         let check = if self.stopping.is_some() || self.state.has_unwritten() {
             Instant::now() + STOP_CHECK_INTERVAL
         } else {
@@ -169,7 +169,7 @@
     }
 
     /// The first request to stop stands, whatever comes after it.
-    fn note_stop_request(&mut self, events: &[Event]) {
+    fn record_stop_request(&mut self, events: &[Event]) {
         for event in events {
             if let Event::StopRequested(plan) = event
                 && self.stopping.is_none()
@@ -191,7 +191,7 @@
             attempt.needs_record = !policy.borrow().may_send_without_record(attempt.message);
         }
         self.state.execute_step();
-        for question in std::mem::take(&mut self.state.reachability_questions) {
+        for question in std::mem::take(&mut self.state.send_permission_requests) {
             let known = self.state.endpoints.get(question.endpoint);
             let is_there = known.is_some_and(|known| known.address == question.address);
             let may_send = is_there && policy.borrow().may_send_to(question.endpoint, now);
--- a/crates/relay/src/dispatch/restore.rs
+++ b/crates/relay/src/dispatch/restore.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// A time that is not "none" or "due", which zero means, is at least this.
-const EARLIEST: Duration = Duration::from_millis(1);
+const MIN_NONZERO_TIME: Duration = Duration::from_millis(1);
 
 impl DispatcherState {
     /// Restores routes: a `Retry-After` and a slow start bind beyond a handover (rules 4 and 6).
@@ -37,7 +37,7 @@
             if unix_ms == 0 {
                 Duration::ZERO
             } else {
-                self.clock.since_start_of_unix_ms(unix_ms).max(EARLIEST)
+                self.clock.since_start_of_unix_ms(unix_ms).max(MIN_NONZERO_TIME)
             }
         };
         Some(RouteSnapshot {
--- a/crates/relay/src/dispatch/shutdown.rs
+++ b/crates/relay/src/dispatch/shutdown.rs
@@ -12,9 +12,9 @@
 /// Between two looks at whether everything has ended, while stopping.
 pub(super) const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// At the end: the time for writes that failed to be done after all. SIGKILL comes 0.2 s after the end at the earliest.
-const LAST_WRITES_TIME: Duration = Duration::from_millis(60);
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(60);
 /// Between two tries within that time.
-const LAST_WRITES_INTERVAL: Duration = Duration::from_millis(5);
+const FINAL_WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The process was told to stop.
 #[derive(Clone, Copy)]
@@ -40,7 +40,7 @@
 impl StopProgress {
     /// True while the decisions go on. In a handover they do to the end, sending nothing: final answers that fall due
     /// are still given.
-    pub(super) fn decides(self) -> bool {
+    pub(super) fn should_run_policy(self) -> bool {
         self.elapsed < self.plan.send_duration || self.plan.is_handover
     }
 
@@ -58,7 +58,7 @@
         }
         let clients_gone = self.clients_stopping.is_closed() && self.client_connections.get() == 0;
         let nothing_in_flight = self.state.calls_in_flight.is_empty();
-        clients_gone && nothing_in_flight && (stop.may_leave_messages() || !self.state.holds_messages())
+        clients_gone && nothing_in_flight && (stop.may_leave_messages() || !self.state.has_open_messages())
     }
 
     /// Takes in what has come by now, and lets clients hear which messages were accepted. Without that a delivery
@@ -73,14 +73,14 @@
             while let Ok(event) = self.events.try_recv() {
                 self.state.handle(event, &mut inputs);
             }
-            self.state.execute_without_deciding();
+            self.state.execute_without_policy();
             if rounds.are_over(self.client_connections.get() == 0 && inputs.is_empty()) {
                 break;
             }
         }
         self.state.abandon_unwritten_calls();
         self.state.execute_step();
-        self.write_what_is_left().await;
+        self.flush_unwritten().await;
         let calls = self.state.calls_in_flight.len();
         let stored = self.state.spool.borrow().messages().len();
         let violations = self.state.violations.total();
@@ -90,10 +90,10 @@
 
 impl Dispatcher {
     /// The last chance: what can't be written now, the next process does not know.
-    async fn write_what_is_left(&mut self) {
-        let end = Instant::now() + LAST_WRITES_TIME;
+    async fn flush_unwritten(&mut self) {
+        let end = Instant::now() + FINAL_WRITE_TIMEOUT;
         while self.state.has_unwritten() && Instant::now() < end {
-            Timer::after(LAST_WRITES_INTERVAL).await;
+            Timer::after(FINAL_WRITE_RETRY_INTERVAL).await;
             self.state.now = self.state.clock.now();
             self.state.retry_writes();
         }
@@ -106,9 +106,9 @@
 impl DispatcherState {
     /// Carries out a step in which nothing is decided: outcomes are recorded, messages wait in the spool for the next
     /// process. Late calls hear nothing, and are not sent.
-    pub(super) fn execute_without_deciding(&mut self) {
+    pub(super) fn execute_without_policy(&mut self) {
         self.execute_step();
-        self.reachability_questions.clear();
+        self.send_permission_requests.clear();
     }
 
     /// Calls whose last byte is not written can't run any more.
--- a/crates/relay/src/dispatch/state.rs
+++ b/crates/relay/src/dispatch/state.rs
@@ -3,7 +3,7 @@
 use super::dependencies::Dependencies;
 use super::ended_ids::EndedIds;
 use super::event::{CallNumber, Event};
-use super::key_rests::KeyRests;
+use super::key_hold_offs::KeyHoldOffs;
 use crate::acceptance::Acceptances;
 use crate::clients::{MessageContent, SubmissionMetadata, SubmissionReply};
 use crate::clock::Clock;
@@ -78,7 +78,7 @@
 }
 
 /// A late call that waits to hear whether it may still be sent.
-pub(super) struct ReachabilityQuestion {
+pub(super) struct SendPermissionRequest {
     pub(super) endpoint: EndpointId,
     /// Where the call goes.
     pub(super) address: SocketAddr,
@@ -110,14 +110,14 @@
     pub(super) files: StateFiles,
     pub(super) successor_spool: SuccessorSpool,
     /// Told to stop, with a successor beside it.
-    pub(super) hands_over: bool,
+    pub(super) is_handing_over: bool,
     /// Which message classes keep their messages in order.
     ordered_classes: Vec<bool>,
     /// The messages in the spool, by the ids that clients gave them.
     pub(super) messages_by_id: BTreeMap<Vec<u8>, MessageId>,
     pub(super) ended_ids: EndedIds,
     pub(super) calls_in_flight: BTreeMap<CallNumber, CallInFlight>,
-    pub(super) key_rests: Rc<KeyRests>,
+    pub(super) key_hold_offs: Rc<KeyHoldOffs>,
     /// How long a key rests behind an attempt that may still be running.
     pub(super) order_hold_off: Duration,
     pub(super) last_call_number: u64,
@@ -136,7 +136,7 @@
     /// What the step under way sends.
     pub(super) pending_sends: Vec<PendingSends>,
     /// What the step under way is asked.
-    pub(super) reachability_questions: Vec<ReachabilityQuestion>,
+    pub(super) send_permission_requests: Vec<SendPermissionRequest>,
 }
 
 impl DispatcherState {
@@ -165,7 +165,7 @@
             drain_record: dependencies.drain_record,
             files: dependencies.files,
             successor_spool: dependencies.successor_spool,
-            hands_over: false,
+            is_handing_over: false,
             ordered_classes: dependencies
                 .policy_settings
                 .classes
@@ -175,7 +175,7 @@
             messages_by_id: BTreeMap::new(),
             ended_ids: EndedIds::default(),
             calls_in_flight: BTreeMap::new(),
-            key_rests: Rc::default(),
+            key_hold_offs: Rc::default(),
             order_hold_off: dependencies.policy_settings.order_hold_off,
             last_call_number: 0,
             next_wake: None,
@@ -185,7 +185,7 @@
             pending_notifications: Vec::new(),
             spool_failure_logged: false,
             pending_sends: Vec::new(),
-            reachability_questions: Vec::new(),
+            send_permission_requests: Vec::new(),
         }
     }
 
@@ -198,7 +198,7 @@
         outcome: FinalOutcome,
     ) -> bool {
         self.log_undelivered(message, outcome);
-        if self.has_final_answer(message) {
+        if self.is_second_final_answer(message) {
             return false;
         }
         self.metrics.count_final_answer(match outcome {
@@ -215,7 +215,7 @@
     }
 
     /// Rule 1: one final answer. True if the message has one; then a second one is a violation.
-    fn has_final_answer(&self, message: MessageId) -> bool {
+    fn is_second_final_answer(&self, message: MessageId) -> bool {
         let spool = self.spool.borrow();
         let Some(stored) = spool.get(message.0).filter(|stored| stored.pending_outcome.is_some()) else {
             return false;
@@ -323,12 +323,12 @@
     }
 
     /// True if a message in the spool is not closed.
-    pub(super) fn holds_messages(&self) -> bool {
+    pub(super) fn has_open_messages(&self) -> bool {
         self.spool.borrow().messages().len() > self.closed_messages.len()
     }
 
     /// Remembers the id of a message that ended.
-    pub(super) fn remember_ended(&mut self, message: MessageId) {
+    pub(super) fn record_ended_id(&mut self, message: MessageId) {
         let spool = self.spool.borrow();
         let Some(AcceptedMessage { id, key, metadata, body, .. }) =
             spool.get(message.0).map(|stored| &stored.accepted)
@@ -336,7 +336,7 @@
             return;
         };
         if let Ok(metadata) = SubmissionMetadata::parse(metadata) {
-            self.ended_ids.remember(id, &MessageContent { key: *key, metadata: &metadata, body });
+            self.ended_ids.insert(id, &MessageContent { key: *key, metadata: &metadata, body });
         }
     }
 
--- a/crates/relay/src/upstream/attempt.rs
+++ b/crates/relay/src/upstream/attempt.rs
@@ -22,7 +22,7 @@
 /// Bytes of a response's body at most: a line for each message of the largest batch is far less.
 const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 /// A call whose first byte goes out longer after the decision asks first whether it still may.
-const LATE_START: Duration = Duration::from_millis(50);
+const DELAYED_SEND_THRESHOLD: Duration = Duration::from_millis(50);
 /// The longest `Retry-After` that is taken as told, in seconds; a longer one is cut to it.
 const MAX_RETRY_AFTER_SECONDS: f64 = 1e6;
 
@@ -126,7 +126,7 @@
     pub(crate) connect_timeout: Duration,
     pub(crate) decided_at: Instant,
     /// Asks if the endpoint may still be called.
-    pub(crate) may_still_send: Box<dyn Fn() -> Receiver<bool>>,
+    pub(crate) request_send_permission: Box<dyn Fn() -> Receiver<bool>>,
     /// Records the attempts in the spool, right before the first byte; how they end if they must not go out.
     pub(crate) record_attempts: Box<dyn Fn() -> Result<(), Outcome>>,
     pub(crate) stage: Rc<Cell<CallStage>>,
@@ -182,7 +182,7 @@
 
     /// No whole answer came. Whatever the outcome, the endpoint may still be at work: the relay gave the call up, or its
     /// connection ended.
-    fn broken_off(&self, outcome: Outcome) -> CallResult {
+    fn interrupted_result(&self, outcome: Outcome) -> CallResult {
         self.same_for_all(outcome, CallEnd::Interrupted, false)
     }
 
@@ -203,7 +203,7 @@
         let opened = HttpConnection::open(self.endpoint.address, server_name).or(late).await;
         opened.map_err(|e| {
             info!("connection to endpoint {} not made: {}", self.endpoint.name, e.kind());
-            if is_local(&e) { Outcome::LocalFailure } else { Outcome::ConnectFailed }
+            if is_local_error(&e) { Outcome::LocalFailure } else { Outcome::ConnectFailed }
         })
     }
 
@@ -246,18 +246,18 @@
     /// A call decided long ago could cross a `Retry-After` or a drain told since, as its connection came up slowly or
     /// its task waited for the core. On a kept connection too.
     async fn is_still_allowed(&self) -> bool {
-        if self.decided_at.elapsed() <= LATE_START {
+        if self.decided_at.elapsed() <= DELAYED_SEND_THRESHOLD {
             return true;
         }
-        (self.may_still_send)().recv().await.unwrap_or(false)
+        (self.request_send_permission)().recv().await.unwrap_or(false)
     }
 
     /// A write to the state folder that took long may cross the same, and the limit.
     async fn check_after_record(&self, recording_since: Instant, deadline: Instant) -> Result<(), Outcome> {
-        if recording_since.elapsed() <= LATE_START {
+        if recording_since.elapsed() <= DELAYED_SEND_THRESHOLD {
             return Ok(());
         }
-        let is_allowed = (self.may_still_send)().recv().await.unwrap_or(false);
+        let is_allowed = (self.request_send_permission)().recv().await.unwrap_or(false);
         if !is_allowed {
             info!("call to endpoint {} not made: no longer allowed", self.endpoint.name);
             return Err(Outcome::NotSent);
@@ -289,10 +289,10 @@
     ) -> CallResult {
         let (response, reusable) = match connection.read_response(MAX_RESPONSE_BYTES, deadline).await {
             Ok(response) => response,
-            Err(ResponseError::TimedOut) => return self.broken_off(Outcome::TimedOut),
-            Err(ResponseError::ConnectionClosed) => return self.broken_off(Outcome::Reset),
+            Err(ResponseError::TimedOut) => return self.interrupted_result(Outcome::TimedOut),
+            Err(ResponseError::ConnectionClosed) => return self.interrupted_result(Outcome::Reset),
             // Also where an unreadable response says that the message was rejected: it may have run all the same.
-            Err(ResponseError::Unreadable) => return self.broken_off(Outcome::Error),
+            Err(ResponseError::Unreadable) => return self.interrupted_result(Outcome::Error),
         };
         let is_first = connection.requests == 1;
         if reusable {
@@ -321,7 +321,7 @@
                 self.same_for_all(Outcome::Delivered, CallEnd::Interrupted, true)
             }
             200 if self.messages.len() == 1 => self.answered(Outcome::Delivered, true),
-            200 if !response.complete => self.broken_off(Outcome::Error),
+            200 if !response.complete => self.interrupted_result(Outcome::Error),
             200 => self.interpret_batch(&response.body, retry_after),
             429 => self.answered(Outcome::Rejected { retry_after }, false),
             503 if response.slots_taken => self.answered(Outcome::NotSent, false),
@@ -366,7 +366,7 @@
 }
 
 /// True if a connection was not made for a shortage of this machine: that tells nothing of the endpoint.
-pub(super) fn is_local(error: &std::io::Error) -> bool {
+pub(super) fn is_local_error(error: &std::io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     errno.is_some_and(|errno| LOCAL_CONNECT_ERRORS.contains(&errno))
 }
--- a/crates/relay/src/upstream/connection_pool.rs
+++ b/crates/relay/src/upstream/connection_pool.rs
@@ -12,23 +12,23 @@
 
 /// An idle connection is not used for this part of its idle time at the end: the request has a way to go, and the
 /// endpoint's clock began earlier.
-const UNUSED_IDLE_FRACTION: u32 = 10;
+const IDLE_MARGIN_DIVISOR: u32 = 10;
 /// That part is no shorter than this, but half of the idle time at most.
-const MIN_UNUSED_IDLE_TIME: Duration = Duration::from_millis(250);
+const MIN_IDLE_MARGIN: Duration = Duration::from_millis(250);
 
 /// Connections that carry no call now; of each endpoint those used last at the end.
 pub(crate) struct ConnectionPool {
     idle: RefCell<BTreeMap<EndpointId, VecDeque<HttpConnection>>>,
     /// How long after its last use a connection may be used again.
-    usable_for: Duration,
+    max_idle_time: Duration,
     max_connections: usize,
 }
 
 impl ConnectionPool {
     /// A pool for endpoints that close connections after `idle_timeout`.
     pub(crate) fn new(idle_timeout: Duration, max_connections: usize) -> ConnectionPool {
-        let unused = (idle_timeout / UNUSED_IDLE_FRACTION).max(MIN_UNUSED_IDLE_TIME).min(idle_timeout / 2);
-        ConnectionPool { idle: RefCell::default(), usable_for: idle_timeout - unused, max_connections }
+        let unused = (idle_timeout / IDLE_MARGIN_DIVISOR).max(MIN_IDLE_MARGIN).min(idle_timeout / 2);
+        ConnectionPool { idle: RefCell::default(), max_idle_time: idle_timeout - unused, max_connections }
     }
 
     /// The connection to an endpoint that was used last. One that leads to an address that the endpoint has left since
@@ -69,11 +69,11 @@
     /// True if an idle connection can still be used. One that was taken for a call that was not made was not used: its
     /// time runs on.
     pub(super) fn is_usable(&self, connection: &mut HttpConnection) -> bool {
-        if connection.last_used.elapsed() >= self.usable_for {
+        if connection.last_used.elapsed() >= self.max_idle_time {
             connection.close_reason = CloseReason::Idle;
             return false;
         }
-        if !connection.is_quiet() {
+        if !connection.is_open_and_idle() {
             connection.close_reason = CloseReason::ClosedWhileIdle;
             return false;
         }
@@ -82,9 +82,9 @@
 }
 
 fn close_idle_longest(idle: &mut BTreeMap<EndpointId, VecDeque<HttpConnection>>) {
-    let first_of_each =
+    let oldest_of_each =
         idle.iter().filter_map(|(id, connections)| Some((connections.front()?.last_used, *id)));
-    let Some((_, endpoint)) = first_of_each.min() else { return };
+    let Some((_, endpoint)) = oldest_of_each.min() else { return };
     let Some(connections) = idle.get_mut(&endpoint) else { return };
     if let Some(connection) = connections.pop_front() {
         connection.close(CloseReason::PoolFull);
--- a/crates/relay/src/upstream/endpoint_table.rs
+++ b/crates/relay/src/upstream/endpoint_table.rs
@@ -28,13 +28,13 @@
     pub(crate) endpoint: EndpointId,
     pub(crate) status: EndpointStatus,
     /// The endpoint has another address now, or none.
-    pub(crate) address_left: bool,
+    pub(crate) has_left_address: bool,
 }
 
 /// The known endpoints.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
-    ids_given_out: u64,
+    last_id: u64,
     ids: BTreeMap<Rc<str>, EndpointId>,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     /// Forgotten while in maintenance, as last listed: an endpoint that comes back must be known.
@@ -56,7 +56,7 @@
 
     /// The endpoint that had the entry's name until now, where the entry is about another one: of another destination, zone
     /// or kind. It keeps its id, and the entry gets a new one.
-    pub(crate) fn retire_if_another(&mut self, entry: &EndpointEntry) -> Option<EndpointId> {
+    pub(crate) fn retire_replaced_endpoint(&mut self, entry: &EndpointEntry) -> Option<EndpointId> {
         let id = *self.ids.get(entry.id.as_str())?;
         let known = self.endpoints.get(&id)?;
         let is_same = known.destination == DestinationId(entry.dst)
@@ -94,15 +94,15 @@
         self.count_destination(endpoint.destination);
         let previous = self.endpoints.insert(id, endpoint);
         for replaced in returned.iter().chain(&previous) {
-            self.discount_destination(replaced.destination);
+            self.uncount_destination(replaced.destination);
         }
         let has_moved = previous.is_some_and(|previous| previous.address != entry.address);
-        TableUpdate { endpoint: id, status, address_left: has_moved || entry.phase == Phase::Gone }
+        TableUpdate { endpoint: id, status, has_left_address: has_moved || entry.phase == Phase::Gone }
     }
 
     fn assign_id(&mut self, name: &Rc<str>) -> EndpointId {
-        self.ids_given_out += 1;
-        let id = EndpointId(self.ids_given_out);
+        self.last_id += 1;
+        let id = EndpointId(self.last_id);
         self.ids.insert(name.clone(), id);
         id
     }
@@ -116,7 +116,7 @@
         *self.destinations.entry(destination).or_default() += 1;
     }
 
-    fn discount_destination(&mut self, destination: DestinationId) {
+    fn uncount_destination(&mut self, destination: DestinationId) {
         if let Some(count) = self.destinations.get_mut(&destination) {
             *count -= 1;
             if *count == 0 {
@@ -129,9 +129,9 @@
     /// maintenance is kept aside as it was last listed, until it comes back or is listed again.
     pub(crate) fn forget(&mut self, id: EndpointId, in_maintenance: bool) -> Option<Endpoint> {
         let endpoint = self.endpoints.remove(&id)?;
-        self.discount_destination(endpoint.destination);
-        let has_its_name = self.ids.get(&endpoint.name) == Some(&id);
-        if !has_its_name {
+        self.uncount_destination(endpoint.destination);
+        let owns_name = self.ids.get(&endpoint.name) == Some(&id);
+        if !owns_name {
             return Some(endpoint);
         }
         self.ids.remove(&endpoint.name);
@@ -139,7 +139,7 @@
             self.count_destination(endpoint.destination);
             let replaced = self.in_maintenance.insert(endpoint.name.clone(), endpoint.clone());
             if let Some(replaced) = replaced {
-                self.discount_destination(replaced.destination);
+                self.uncount_destination(replaced.destination);
             }
         }
         Some(endpoint)
--- a/crates/relay/src/upstream/endpoint_table_tests.rs
+++ b/crates/relay/src/upstream/endpoint_table_tests.rs
@@ -44,8 +44,8 @@
 fn an_entry_of_another_destination_is_another_endpoint() {
     let mut table = EndpointTable::default();
     let old = table.update(&entry("e1", 1, Phase::Ready)).endpoint;
-    assert_eq!(table.retire_if_another(&entry("e1", 1, Phase::Draining)), None);
-    assert_eq!(table.retire_if_another(&entry("e1", 3, Phase::Ready)), Some(old));
+    assert_eq!(table.retire_replaced_endpoint(&entry("e1", 1, Phase::Draining)), None);
+    assert_eq!(table.retire_replaced_endpoint(&entry("e1", 3, Phase::Ready)), Some(old));
     let new = table.update(&entry("e1", 3, Phase::Ready)).endpoint;
     assert_ne!(new, old);
     assert_eq!(known(&table), [1, 3]);
--- a/crates/relay/src/upstream/http1.rs
+++ b/crates/relay/src/upstream/http1.rs
@@ -3,7 +3,7 @@
 //! Owns the socket and what was read and not yet parsed. Leaves one log line when the connection ends. Knows nothing of
 //! messages or endpoints; calls for the endpoint list and notifications use it too.
 
-use super::response::{BodyLength, Head, Response, parse_head, status_line_says_ok};
+use super::response::{BodyLength, Head, Response, has_ok_status_line, parse_head};
 use crate::transient::{self, is_transient};
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
@@ -92,7 +92,7 @@
     stream: Async<TcpStream>,
     buffer: Vec<u8>,
     /// The status line of the response being read says 200.
-    status_line_ok: bool,
+    has_ok_status_line: bool,
     pub(super) address: SocketAddr,
     /// What its log line calls the server.
     server_name: String,
@@ -118,7 +118,7 @@
         Ok(HttpConnection {
             stream,
             buffer: Vec::new(),
-            status_line_ok: false,
+            has_ok_status_line: false,
             address,
             server_name,
             requests: 0,
@@ -140,7 +140,7 @@
     }
 
     /// True if the server has neither closed it nor sent anything that was not requested.
-    pub(super) fn is_quiet(&self) -> bool {
+    pub(super) fn is_open_and_idle(&self) -> bool {
         let peeked = self.stream.get_ref().peek(&mut [0]);
         self.buffer.is_empty() && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
@@ -168,14 +168,14 @@
         if let Err(error) = &result {
             self.log_failure(*error);
         }
-        self.note_close_reason(&result);
+        self.record_close_reason(&result);
         match result {
             Ok(response) => {
                 let reusable = response.keep_alive && self.buffer.is_empty();
                 Ok((response, reusable))
             }
             // A delivery must not be taken for a failure: the status line may be all that counts.
-            Err(ResponseError::ConnectionClosed | ResponseError::Unreadable) if self.status_line_ok => {
+            Err(ResponseError::ConnectionClosed | ResponseError::Unreadable) if self.has_ok_status_line => {
                 Ok((Response::status_line_only(), false))
             }
             Err(error) => Err(error),
@@ -189,7 +189,7 @@
         deadline: Instant,
     ) -> Result<Response, ResponseError> {
         loop {
-            self.status_line_ok = false;
+            self.has_ok_status_line = false;
             if self.buffer.is_empty() {
                 let late = async {
                     Timer::at(deadline).await;
@@ -199,9 +199,9 @@
                     return Err(ResponseError::ConnectionClosed);
                 }
             }
-            let rest_due = (Instant::now() + REST_OF_RESPONSE_TIMEOUT).min(deadline);
+            let rest_deadline = (Instant::now() + REST_OF_RESPONSE_TIMEOUT).min(deadline);
             let stalled = async {
-                Timer::at(rest_due).await;
+                Timer::at(rest_deadline).await;
                 Err(ResponseError::Unreadable)
             };
             let response = self.read_one_response(max_body).or(stalled).await?;
@@ -222,7 +222,7 @@
     }
 
     /// Notes what the log line is to tell, if the connection ends now.
-    fn note_close_reason(&mut self, result: &Result<Response, ResponseError>) {
+    fn record_close_reason(&mut self, result: &Result<Response, ResponseError>) {
         match result {
             Err(ResponseError::ConnectionClosed) => self.close_reason = CloseReason::BrokenInResponse,
             Err(ResponseError::Unreadable) => self.close_reason = CloseReason::UnreadableResponse,
@@ -247,7 +247,7 @@
 
     async fn read_head(&mut self) -> Result<Head, ResponseError> {
         loop {
-            self.status_line_ok = status_line_says_ok(&self.buffer);
+            self.has_ok_status_line = has_ok_status_line(&self.buffer);
             if let Some(head) = parse_head(&self.buffer)? {
                 return Ok(head);
             }
@@ -378,7 +378,7 @@
     };
     let response = async {
         let connection = match kept {
-            Some(connection) if connection.is_quiet() => connection,
+            Some(connection) if connection.is_open_and_idle() => connection,
             _ => {
                 let opened = HttpConnection::open(address, server_name.into()).await;
                 kept.insert(opened.map_err(ExchangeError::Io)?)
--- a/crates/relay/src/upstream/response.rs
+++ b/crates/relay/src/upstream/response.rs
@@ -41,7 +41,7 @@
 }
 
 /// True if a status line has come as far as its status, and that is 200.
-pub(super) fn status_line_says_ok(bytes: &[u8]) -> bool {
+pub(super) fn has_ok_status_line(bytes: &[u8]) -> bool {
     let Some((minor_version, rest)) = bytes.strip_prefix(b"HTTP/1.").and_then(<[u8]>::split_first) else {
         return false;
     };
@@ -79,14 +79,14 @@
     let status = parsed.code.ok_or(ResponseError::Unreadable)?;
     let mut response = Response::with_status(status);
     response.keep_alive = parsed.version == Some(1);
-    let mut told_length = None;
+    let mut declared_length = None;
     for header in parsed.headers.iter() {
         let value = std::str::from_utf8(header.value).unwrap_or("").trim();
-        read_header(&mut response, &mut told_length, header.name, value)?;
+        read_header(&mut response, &mut declared_length, header.name, value)?;
     }
     let has_no_body = status < 200 || status == 204 || status == 304;
     let body_length =
-        if has_no_body { BodyLength::Bytes(0) } else { told_length.unwrap_or(BodyLength::UntilClose) };
+        if has_no_body { BodyLength::Bytes(0) } else { declared_length.unwrap_or(BodyLength::UntilClose) };
     if body_length == BodyLength::UntilClose {
         response.keep_alive = false;
     }
@@ -96,21 +96,21 @@
 /// Takes one header field into the response.
 fn read_header(
     response: &mut Response,
-    told_length: &mut Option<BodyLength>,
+    declared_length: &mut Option<BodyLength>,
     name: &str,
     value: &str,
 ) -> Result<(), ResponseError> {
     match name.to_ascii_lowercase().as_str() {
         "content-length" => {
             let length = BodyLength::Bytes(parse_content_length(value)?);
-            let earlier = told_length.replace(length);
+            let earlier = declared_length.replace(length);
             // Two lengths that differ tell nothing: one response could be taken for another.
             if earlier.is_some_and(|earlier| earlier != length) {
                 return Err(ResponseError::Unreadable);
             }
         }
-        "transfer-encoding" if value.eq_ignore_ascii_case("chunked") && told_length.is_none() => {
-            *told_length = Some(BodyLength::Chunked);
+        "transfer-encoding" if value.eq_ignore_ascii_case("chunked") && declared_length.is_none() => {
+            *declared_length = Some(BodyLength::Chunked);
         }
         "transfer-encoding" => return Err(ResponseError::Unreadable),
         "connection" if value.to_ascii_lowercase().contains("close") => response.keep_alive = false,
--- a/crates/relay/src/upstream/tests.rs
+++ b/crates/relay/src/upstream/tests.rs
@@ -72,7 +72,7 @@
         time_limit: limit,
         connect_timeout: limit,
         decided_at: Instant::now(),
-        may_still_send: Box::new(|| {
+        request_send_permission: Box::new(|| {
             let (tell, told) = async_channel::bounded(1);
             tell.try_send(true).expect("room");
             told
@@ -165,5 +165,5 @@
 #[test_case(libc::ETIMEDOUT => false; "timed out")]
 #[test_case(libc::EHOSTUNREACH => false; "unreachable")]
 fn an_error_of_a_connection_may_tell_of_this_machine_alone(errno: i32) -> bool {
-    super::attempt::is_local(&std::io::Error::from_raw_os_error(errno))
+    super::attempt::is_local_error(&std::io::Error::from_raw_os_error(errno))
 }
