--- a/crates/relay/src/dispatch/actions.rs
+++ b/crates/relay/src/dispatch/actions.rs
@@ -1,4 +1,5 @@
-//! Takes the decisions of a step. What has to wait for the spool is collected, and carried out when the step is over.
+//! Receives the actions that the policy decides in a step. Those that need the spool first are collected and executed
+//! at the end of the step.
 
 use super::event::Event;
 use super::state::{DispatcherState, PendingAttempt, PendingSends};
@@ -33,8 +34,8 @@
         )
     }
 
-    /// One message can't be taken out of a call, as it would still be in flight on an open connection: the call ends
-    /// once all its messages are cancelled.
+    /// Cancels the call once all its messages are cancelled: a single message can't be removed from a call, as it would
+    /// still be in flight on the open connection.
     fn cancel(&mut self, message: MessageId, _attempt: AttemptNumber) {
         let mut calls = self.calls_in_flight.iter_mut();
         let Some((number, call)) = calls.find(|(_, call)| call.messages.contains(&message)) else { return };
@@ -42,13 +43,13 @@
         if !call.cancelled.is_superset(&call.messages) {
             return;
         }
-        // What was not written to its last byte can't have run.
+        // A call that was not written to its last byte can't have run.
         let (outcome, end) = if call.stage.get() == CallStage::Written {
             (Outcome::Cancelled, CallEnd::Interrupted)
         } else {
             (Outcome::NotSent, CallEnd::NotWritten)
         };
-        let results = CallResult::same_for_all(call.messages.iter().copied(), outcome, end, false);
+        let results = CallResult::uniform(call.messages.iter().copied(), outcome, end, false);
         let _ = self.events.try_send(Event::AttemptsEnded { call: *number, results });
         call.task = None;
     }
@@ -62,8 +63,8 @@
         let name = self.endpoints.get(endpoint).map(|known| known.name.clone());
         let in_maintenance = name.is_some_and(|name| self.maintenance.borrow().is_in_maintenance(&name));
         if let Some(forgotten) = self.endpoints.forget(endpoint, in_maintenance) {
-            let note = if in_maintenance { " while out by hand" } else { "" };
-            info!("endpoint {} is forgotten{note}", forgotten.name);
+            let suffix = if in_maintenance { " while out by hand" } else { "" };
+            info!("endpoint {} is forgotten{suffix}", forgotten.name);
         }
     }
 
@@ -83,15 +84,15 @@
     fn persist_routes(&mut self, routes: &[RouteSnapshot]) {
         let now_ms = self.clock.unix_ms(self.now);
         let routes: Vec<RouteRecord> = routes.iter().map(|route| self.route_record(route)).collect();
-        debug!("persists routes at {now_ms}: {routes:?}");
+        debug!("storing route snapshot at {now_ms} ms Unix time: {routes:?}");
         self.files.write_snapshot(now_ms, routes);
     }
 }
 
 impl DispatcherState {
-    /// A route as the snapshot has it: with names and times that the next process understands.
+    /// Converts a route for the snapshot: with endpoint names and Unix times, which the next process can interpret.
     fn route_record(&self, route: &RouteSnapshot) -> RouteRecord {
-        // Zero means "none" or "due", so any other time is at least 1.
+        // Zero means "none" or "due now", so any other time is at least 1.
         let unix_ms = |at: Duration| if at.is_zero() { 0 } else { self.clock.unix_ms(at).max(1) };
         let endpoint = route.endpoint.and_then(|id| self.endpoints.get(id));
         RouteRecord {
--- a/crates/relay/src/dispatch/calls.rs
+++ b/crates/relay/src/dispatch/calls.rs
@@ -1,4 +1,4 @@
-//! Carries out what a step decided: commits the spool, answers clients, starts calls.
+//! Executes the actions of a step: commits the spool, replies to clients, starts calls.
 
 use super::event::{CallNumber, Event};
 use super::key_hold_offs::KeyHoldOffs;
@@ -19,12 +19,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Messages in one call to an endpoint of a kind that the settings don't name.
+/// Maximum number of messages in one call to an endpoint of a kind that is not in the settings.
 const DEFAULT_MAX_BATCH: usize = 1;
 
-/// A call that the step decided and that has not begun.
+/// A call of the current step that has not started.
 struct PlannedCall {
-    to: EndpointId,
+    endpoint_id: EndpointId,
     endpoint: Endpoint,
     attempts: Vec<PendingAttempt>,
 }
@@ -35,7 +35,7 @@
     }
 }
 
-/// The guard of the verb "send": asks the rules again right before the first byte of a call.
+/// Checks the rules again right before the first byte of a call is sent, and reports violations.
 struct SendGuard {
     policy: Rc<RefCell<DeliveryPolicy>>,
     metrics: Rc<Metrics>,
@@ -47,20 +47,21 @@
 }
 
 impl SendGuard {
-    /// How the attempt of a message ends if it must not begin now.
+    /// Checks the attempt of a message; returns its outcome as the error if it must not start now.
     fn check(&self, spool: &Spool, message: MessageId, now: Duration) -> Result<(), Outcome> {
         let Err(refusal) = self.policy.borrow().check_before_send(message, self.endpoint, now) else {
             return Ok(());
         };
         self.metrics.count_stopped_send(refusal.name());
-        // The others are events that crossed; these the decisions must never ask for.
+        // The policy must never decide an attempt that these two errors refuse. The other errors come from events
+        // after the decision and are no violations.
         match refusal {
             SendError::UnsafeRepeat => {
-                self.report(ViolationKind::UnsafeRepeat, spool, message, "no earlier run");
+                self.report(ViolationKind::UnsafeRepeat, spool, message, "no earlier possible run");
             }
             SendError::OutOfOrder => {
-                let turn = self.policy.borrow().ordering_state(message, now);
-                let expected = format!("its turn, is {}", describe_ordering_state(spool, turn));
+                let state = self.policy.borrow().ordering_state(message, now);
+                let expected = format!("next of its key, is {}", describe_ordering_state(spool, state));
                 self.report(ViolationKind::OutOfTurn, spool, message, &expected);
             }
             _ => {}
@@ -68,17 +69,20 @@
         Err(Outcome::NotSent)
     }
 
-    /// Measures how long the key of a message that goes out now has rested.
+    /// Measures the time since the hold-off of the message's ordering key began, and reports a hold-off that was too
+    /// short. Called right before the message is sent.
     fn measure_hold_off(&self, spool: &Spool, message: MessageId, now: Duration) {
         let Some(key) = self.policy.borrow().ordering_key(message) else { return };
-        let Some(rest) = self.key_hold_offs.end(key, message) else { return };
-        let gap = now.saturating_sub(rest.since);
+        let Some(hold_off) = self.key_hold_offs.end(key, message) else { return };
+        let gap = now.saturating_sub(hold_off.since);
         self.metrics.observe_key_gap(gap);
-        let earlier = String::from_utf8_lossy(&rest.id).into_owned();
-        let (key, call, earlier_call) = (key.0, self.call.0, rest.call);
-        debug!("key {key:016x}: call {call} begins {gap:?} after call {earlier_call} of message {earlier}");
+        let earlier = String::from_utf8_lossy(&hold_off.id).into_owned();
+        let (key, call, earlier_call) = (key.0, self.call.0, hold_off.call);
+        debug!(
+            "key {key:016x}: call {call} starts {gap:?} after call {earlier_call} of message {earlier} ended"
+        );
         if gap < self.order_hold_off {
-            let expected = format!("a rest behind message {earlier} of call {earlier_call}, was {gap:?}");
+            let expected = format!("hold-off after message {earlier} in call {earlier_call}, was {gap:?}");
             self.report(ViolationKind::OutOfTurn, spool, message, &expected);
         }
     }
@@ -90,29 +94,29 @@
     }
 }
 
-/// A turn as log lines tell it, with the client's id of the other message.
-fn describe_ordering_state(spool: &Spool, turn: Option<OrderingState>) -> String {
+/// Describes an ordering state for log lines, with the client-supplied id of the other message.
+fn describe_ordering_state(spool: &Spool, state: Option<OrderingState>) -> String {
     let id_of = |message: MessageId| {
         let stored = spool.get(message.0);
         stored.map_or_else(|| "-".into(), |stored| String::from_utf8_lossy(&stored.accepted.id).into_owned())
     };
-    match turn {
+    match state {
         None => "not held".into(),
         Some(OrderingState::Next) => "next".into(),
-        Some(OrderingState::QueuedBehind(other)) => format!("behind message {}", id_of(other)),
+        Some(OrderingState::QueuedBehind(other)) => format!("queued behind message {}", id_of(other)),
         Some(OrderingState::HeldOff(other, until)) => {
-            format!("resting behind message {} until {until:?}", id_of(other))
+            format!("on hold-off after message {} until {until:?}", id_of(other))
         }
     }
 }
 
-/// Bytes that a message takes at most in a call of several ones.
+/// Returns the maximum number of bytes of a message in a call with several messages.
 pub(super) fn batch_entry_bytes(accepted: &AcceptedMessage) -> usize {
     upstream::max_batch_entry_bytes(&accepted.id, &accepted.metadata, &accepted.body)
 }
 
 impl DispatcherState {
-    /// Carries a step out: first into the spool, then onto the sockets.
+    /// Executes the actions of a step: commits the spool first, then replies to clients and starts calls.
     pub(super) fn execute_step(&mut self) {
         self.remove_closed_messages();
         let calls = self.plan_calls();
@@ -124,7 +128,7 @@
         }
     }
 
-    /// Turns the attempts of the step into calls, each as large as its endpoint's kind allows.
+    /// Groups the attempts of the step into calls, as large as the kind of the endpoint's destination allows.
     fn plan_calls(&mut self) -> Vec<PlannedCall> {
         let mut calls = Vec::new();
         for sends in std::mem::take(&mut self.pending_sends) {
@@ -132,13 +136,13 @@
             let kind = endpoint.kind.0 as usize;
             let max_batch = self.max_batches.get(kind).copied().unwrap_or(DEFAULT_MAX_BATCH);
             for attempts in self.split_into_calls(&sends.attempts, max_batch) {
-                calls.push(PlannedCall { to: sends.endpoint, endpoint: endpoint.clone(), attempts });
+                calls.push(PlannedCall { endpoint_id: sends.endpoint, endpoint: endpoint.clone(), attempts });
             }
         }
         calls
     }
 
-    /// Attempts in calls of so many at most, none with more bytes than a body may hold.
+    /// Splits attempts into calls with at most `max_batch` messages and at most `MAX_CALL_BYTES` bytes.
     fn split_into_calls(&self, attempts: &[PendingAttempt], max_batch: usize) -> Vec<Vec<PendingAttempt>> {
         let spool = self.spool.borrow();
         let mut calls: Vec<Vec<PendingAttempt>> = Vec::new();
@@ -160,13 +164,14 @@
         calls
     }
 
-    /// Commits what the spool recorded. Nothing counts as committed before the time anchor is written: a later process
-    /// would date it by its own wall clock.
+    /// Commits the records of the spool. Returns whether they are committed. Records don't count as committed before
+    /// the time anchor is written: without it a later process would interpret their times by its own wall clock.
     pub(super) fn commit_spool(&mut self) -> bool {
         if !self.files.is_anchor_written() {
             self.files.retry_unwritten();
         }
-        // Not committed either: what is rejected for that would stand in the log until its removal does.
+        // The spool is not committed either: a message that is rejected for the missing anchor would otherwise stay in
+        // the spool log until its removal is committed too.
         if !self.files.is_anchor_written() {
             return false;
         }
@@ -186,7 +191,7 @@
         committed.is_ok()
     }
 
-    /// Tries again to write what could not be written.
+    /// Retries the writes that failed.
     pub(super) fn retry_writes(&mut self) {
         self.files.retry_unwritten();
         if self.spool.borrow().has_uncommitted() || !self.pending_notifications.is_empty() {
@@ -195,42 +200,39 @@
         }
     }
 
-    /// True if something could not be written yet.
+    /// Returns whether a state file, a spool record or a notification that depends on one is still unwritten.
     pub(super) fn has_unwritten(&self) -> bool {
         self.files.has_unwritten()
             || self.spool.borrow().has_uncommitted()
             || !self.pending_notifications.is_empty()
     }
 
-    /// Only a message that is committed may be called accepted.
+    /// Replies to waiting clients that their messages are accepted, but only if these are committed; else rejects them.
     fn answer_clients(&mut self, is_committed: bool) {
         if is_committed {
             return self.acceptances.tell_accepted();
         }
         for message in self.acceptances.tell_rejected() {
-            // With the next commit it would come back otherwise.
+            // Otherwise the next commit would store the rejected message.
             self.remove_message(message);
             let _ = self.events.try_send(Event::ClientUnreachable(message));
         }
     }
 
-    /// Starts a call. While the spool can't be written only what need not be recorded is sent; the rest waits.
+    /// Starts a call. While the spool can't be written, sends only messages that may be sent without a record; the
+    /// others end with a local failure and wait.
     fn start_call(&mut self, planned: PlannedCall, is_committed: bool) {
         self.last_call_number += 1;
         let number = CallNumber(self.last_call_number);
-        let endpoint = planned.to;
+        let endpoint = planned.endpoint_id;
         let messages: BTreeSet<MessageId> = planned.messages().collect();
         let stage = Rc::new(Cell::new(CallStage::Connecting));
         let may_start = is_committed || self.may_send_without_record(&planned);
         let task = if may_start {
             Some(self.spawn_call(number, planned, stage.clone()))
         } else {
-            let results = CallResult::same_for_all(
-                planned.messages(),
-                Outcome::LocalFailure,
-                CallEnd::NotWritten,
-                false,
-            );
+            let results =
+                CallResult::uniform(planned.messages(), Outcome::LocalFailure, CallEnd::NotWritten, false);
             let _ = self.events.try_send(Event::AttemptsEnded { call: number, results });
             None
         };
@@ -239,7 +241,8 @@
         self.calls_in_flight.insert(number, call);
     }
 
-    /// True if all messages of the call may be sent though the spool can't be written: none was rejected for that.
+    /// Returns whether all messages of the call may be sent while the spool can't be written. Messages that were
+    /// rejected because of that are no longer in the spool and may not be sent.
     fn may_send_without_record(&self, planned: &PlannedCall) -> bool {
         let spool = self.spool.borrow();
         planned.attempts.iter().all(|attempt| !attempt.needs_record && spool.get(attempt.message.0).is_some())
@@ -254,28 +257,28 @@
     }
 
     fn call(&self, number: CallNumber, planned: PlannedCall, stage: Rc<Cell<CallStage>>) -> Call {
-        // A call is given up as a whole, so that none of its messages is sent again while it is open, and at the
-        // shortest limit: an answer after a message's deadline would count for nothing.
+        // A call times out as a whole, so that none of its messages is sent again while the call is open, and at the
+        // shortest limit of its messages: a response after a message's deadline doesn't count.
         let limit = planned.attempts.iter().map(|attempt| attempt.limit).min().unwrap_or_default();
         let messages = planned.messages().filter_map(|message| self.call_message(message)).collect();
         let zone = self.endpoints.zone_name(planned.endpoint.zone).to_string();
         let address = planned.endpoint.address;
         Call {
-            to: planned.to,
+            endpoint_id: planned.endpoint_id,
             endpoint: planned.endpoint,
             messages,
             time_limit: limit,
             connect_timeout: self.settings.connect_timeout,
-            // By the clock that the decision was taken by: a commit that took long is part of the delay.
+            // The time of the decision, so that a slow commit counts as part of the delay.
             decided_at: self.clock.instant(self.now),
-            request_send_permission: self.send_permission_requester(planned.to, address),
-            record_attempts: self.attempt_recorder(number, planned.to, planned.attempts, zone),
+            request_send_permission: self.send_permission_requester(planned.endpoint_id, address),
+            record_attempts: self.attempt_recorder(number, planned.endpoint_id, planned.attempts, zone),
             number: number.0,
             stage,
         }
     }
 
-    /// A message as it goes out in a call.
+    /// Returns a message with the data that a call sends of it.
     fn call_message(&self, message: MessageId) -> Option<CallMessage> {
         let spool = self.spool.borrow();
         let accepted = &spool.get(message.0)?.accepted;
@@ -284,7 +287,7 @@
         Some(CallMessage { message, id: accepted.id.clone(), idempotency_key, body: accepted.body.clone() })
     }
 
-    /// What a call that begins late asks before it is sent: the next step answers.
+    /// Returns the function by which a delayed call requests permission to be sent; the next step answers it.
     fn send_permission_requester(
         &self,
         endpoint: EndpointId,
@@ -292,14 +295,15 @@
     ) -> Box<dyn Fn() -> Receiver<bool>> {
         let events = self.events.clone();
         Box::new(move || {
-            let (reply_to, answer) = async_channel::bounded(1);
+            let (reply_to, reply) = async_channel::bounded(1);
             let _ = events.try_send(Event::SendPermissionRequested { endpoint, address, reply_to });
-            answer
+            reply
         })
     }
 
-    /// What a call does right before its first byte: it asks the rules again, by what is known by then, and records its
-    /// attempts. An outcome if they must not be sent: a rule forbids it, or the spool can't be written.
+    /// Returns the function that a call runs right before its first byte: it checks the rules again, with the current
+    /// state, and records the attempts in the spool. The function returns an outcome as the error if the attempts must
+    /// not be sent: a rule forbids it, or the spool can't be written.
     fn attempt_recorder(
         &self,
         call: CallNumber,
@@ -341,7 +345,7 @@
             if attempts.iter().any(|attempt| attempt.needs_record) {
                 return Err(Outcome::LocalFailure);
             }
-            // Committed with what comes next.
+            // Committed with the next commit of the spool.
             for number in numbers {
                 spool.record_attempt(number, &zone, at_ms);
             }
--- a/crates/relay/src/dispatch/dependencies.rs
+++ b/crates/relay/src/dispatch/dependencies.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is made of.
+//! The parts that a dispatcher is created from.
 
 use super::event::Event;
 use crate::clock::StoredTime;
@@ -19,38 +19,39 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// What a dispatcher is made of.
+/// The parts that a dispatcher is created from.
 pub(crate) struct Dependencies {
     pub(crate) policy_settings: PolicySettings,
     pub(crate) socket_settings: SocketSettings,
-    /// The active process's spool, with what earlier processes left in it.
+    /// Spool of the active process, with the messages that earlier processes left in it.
     pub(crate) spool: Spool,
-    /// The endpoint list of the configuration.
+    /// Endpoint list of the configuration.
     pub(crate) initial_list: Option<EndpointList>,
-    /// What the process before left of its routes, where that still binds.
+    /// Routes that the previous process stored, if they still apply.
     pub(crate) snapshot: Option<Snapshot>,
-    /// Endpoints that earlier processes knew to be draining or removed.
+    /// Endpoints that were draining or removed when an earlier process last received their state.
     pub(crate) drain_record: DrainRecord,
     pub(crate) files: StateFiles,
-    /// What a successor that ends too early leaves.
+    /// Spool of a successor, taken over if the successor exits before it becomes active.
     pub(crate) successor_spool: SuccessorSpool,
-    /// The time line of all that is stored.
+    /// Time base of all stored times.
     pub(crate) stored_time: StoredTime,
     pub(crate) max_idle_connections: usize,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    /// The dispatcher reads events, and tells itself some.
+    /// Event channel: the dispatcher receives from it and also sends some events to itself.
     pub(crate) events: (Sender<Event>, Receiver<Event>),
     pub(crate) notifications: Sender<Notification>,
-    /// Tells that the endpoint list is to be asked for.
+    /// Requests a poll of the endpoint list.
     pub(crate) poll_requests: Sender<()>,
-    /// The operators' commands in force.
+    /// Maintenance commands of the operators that are in effect.
     pub(crate) maintenance: Rc<RefCell<MaintenanceState>>,
-    /// Client connections open now.
+    /// Number of open client connections.
     pub(crate) client_connections: Rc<Cell<usize>>,
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) violations: Rc<Violations>,
-    /// Closed once client connections are to go.
+    /// Closed once client connections must be closed.
     pub(crate) clients_stopping: Receiver<()>,
-    /// Closed by the dispatcher shortly before the end: clients hear the answers they are owed, nothing more is read.
+    /// Closed by the dispatcher shortly before the process exits: clients get the outstanding replies, no further
+    /// request is read.
     pub(crate) clients_ending: Sender<()>,
 }
--- a/crates/relay/src/dispatch/ended_ids.rs
+++ b/crates/relay/src/dispatch/ended_ids.rs
@@ -1,30 +1,30 @@
-//! Ids of messages that ended lately. Every message has a new id, so who hands one in again under such an id repeats the
-//! message, which must not be sent a second time, or has not chosen the id alone.
+//! Ids of messages that ended recently. Clients give every message a new id, so a submission under one of these ids is
+//! either a repeat of the ended message, which must not be sent a second time, or an id conflict between clients.
 
 use crate::clients::MessageContent;
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Ids that are remembered: enough for a client that submits again late, and bounded.
+/// Maximum number of ids kept: bounds the memory, and suffices for a client that repeats a submission late.
 const MAX_IDS: usize = 4_096;
 
-/// What is known of an id.
+/// Use of an id by a message that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum IdUse {
     Unused,
-    /// By this very message.
+    /// Used by a message with the same content.
     SameMessage,
-    /// By another message.
+    /// Used only by messages with different content.
     OtherMessage,
 }
 
-/// An id and what was handed in under it, by their hashes.
+/// Hashes of an id and of the content that was submitted under it.
 struct EndedId {
     id: u64,
     content: u64,
 }
 
-/// The ids of messages that ended lately.
+/// The ids of messages that ended recently, oldest first.
 #[derive(Default)]
 pub(super) struct EndedIds(VecDeque<EndedId>);
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// The time that is left is no part of it: it may be counted anew when the message comes again.
+/// Hashes the content without the time to the deadline, which may differ when the client repeats the submission.
 fn hash_content(content: &MessageContent<'_>) -> u64 {
     let MessageContent { key, metadata, body } = content;
     hash(&(key, &metadata.class, &metadata.tenant, metadata.destination, &metadata.idempotency_key, body))
--- a/crates/relay/src/dispatch/endpoint_list.rs
+++ b/crates/relay/src/dispatch/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! Handles endpoint lists and what operators change of them: translates entries for the decisions, and keeps what an
-//! older list must not undo.
+//! Handles endpoint lists and maintenance commands: converts entries to inputs of the policy, and keeps endpoint states
+//! that an older list must not undo.
 
 use super::state::DispatcherState;
 use crate::discovery::{EndpointEntry, EndpointList};
@@ -9,7 +9,7 @@
 use mountshift_maintenance::Change;
 
 impl DispatcherState {
-    /// Takes a list or an update in.
+    /// Applies a list or an update.
     pub(super) fn on_endpoint_list(&mut self, mut list: EndpointList, inputs: &mut Vec<Input>) {
         self.apply_drain_record(&mut list);
         if list.is_full {
@@ -17,7 +17,7 @@
         }
         for entry in &list.entries {
             self.maintenance.borrow_mut().record_listed_endpoint(&entry.id);
-            // Rule 1: an endpoint gets the messages of its own destination alone.
+            // An endpoint gets only messages of its own destination (rule 1).
             if let Some(retired) = self.endpoints.retire_replaced_endpoint(entry) {
                 self.idle_connections.close_endpoint(retired);
                 let removed = self.listed_endpoint(retired, EndpointStatus::Removed);
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Rule 3: an endpoint that was told to be draining or removed stays so, beyond this process too, until it is
-    /// newly listed. A list that is older than what was told must not undo that.
+    /// Overrides the phases of endpoints that discovery reported as draining or removed: they stay so, also after a
+    /// restart, until they are listed anew (rule 3). A list that is older than that report must not undo it.
     fn apply_drain_record(&mut self, list: &mut EndpointList) {
         let source = list.source.to_string();
         let now_ms = self.clock.unix_ms(self.now);
@@ -52,7 +52,8 @@
         self.files.write_drain_record(&mut self.drain_record);
     }
 
-    /// Rule 3: an endpoint in maintenance is draining for this relay, whatever the list says.
+    /// Returns the status that the policy gets: an endpoint in maintenance is draining for this relay even if it is
+    /// listed as ready (rule 3).
     fn status_under_maintenance(&self, name: &str, status: EndpointStatus) -> EndpointStatus {
         if status == EndpointStatus::Ready && self.maintenance.borrow().is_in_maintenance(name) {
             EndpointStatus::Draining
@@ -61,7 +62,7 @@
         }
     }
 
-    /// An endpoint as the decisions are told of it.
+    /// Returns an endpoint as an input of the policy.
     fn listed_endpoint(&self, endpoint: EndpointId, status: EndpointStatus) -> Option<ListedEndpoint> {
         let known = self.endpoints.get(endpoint)?;
         Some(ListedEndpoint {
@@ -74,7 +75,7 @@
         })
     }
 
-    /// Writes the maintenance, and tells the decisions of the endpoint that it is about.
+    /// Stores the maintenance state, and adds inputs for the endpoint that the command names.
     pub(super) fn on_maintenance_changed(&mut self, change: Change, inputs: &mut Vec<Input>) {
         let (name, is_back) = match &change {
             Change::EndpointOut(name) => (name, false),
@@ -91,8 +92,8 @@
         }
     }
 
-    /// The endpoint of this name. One that the decisions forgot while it was in maintenance is known again, under a
-    /// new id, when it is put back.
+    /// Returns the endpoint of this name. An endpoint that was removed from the table while in maintenance gets a new
+    /// id when it is put back.
     fn endpoint_in_maintenance(&mut self, name: &str, is_back: bool) -> Option<EndpointId> {
         let known = self.endpoints.id_of(name);
         if known.is_none() && is_back { self.endpoints.restore_from_maintenance(name) } else { known }
--- a/crates/relay/src/dispatch/event.rs
+++ b/crates/relay/src/dispatch/event.rs
@@ -1,4 +1,4 @@
-//! What the tasks tell the dispatcher.
+//! Events that the other tasks send to the dispatcher.
 
 use crate::clients::{ClientSubmission, SubmissionReply};
 use crate::discovery::EndpointList;
@@ -10,26 +10,26 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A call to an endpoint; never used twice.
+/// Number of a call to an endpoint; no number is used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CallNumber(pub(super) u64);
 
-/// What happened, in the order in which it did.
+/// An event for the dispatcher. Events arrive in the order in which they happened.
 pub(crate) enum Event {
-    /// A client submitted a message, and waits for the answer.
+    /// A client submitted a message and waits for the reply.
     MessageReceived { message: ClientSubmission, reply_to: Sender<SubmissionReply> },
-    /// A client did not hear that its message was accepted.
+    /// The reply that a message was accepted could not be sent to its client.
     ClientUnreachable(MessageId),
     /// Attempts of a call ended.
     AttemptsEnded { call: CallNumber, results: CallResult },
-    /// A call begins late: may it still be sent to the endpoint, at this address?
+    /// A delayed call requests permission to be sent to the endpoint at this address.
     SendPermissionRequested { endpoint: EndpointId, address: SocketAddr, reply_to: Sender<bool> },
-    /// Discovery told the endpoint list or an update; or a poll failed, with a `Retry-After` if one was told.
+    /// The endpoint list or an update from discovery; or a failed poll, with the `Retry-After` of the response, if any.
     EndpointList(Result<EndpointList, Option<Duration>>),
-    /// The platform took the notifications of these messages.
+    /// The platform acknowledged the notifications of these messages.
     NotificationsAcknowledged(Vec<MessageId>),
-    /// An operator's command changed the maintenance.
+    /// An operator's command changed the maintenance state.
     MaintenanceChanged(Change),
-    /// The process was told to stop, in this way.
+    /// The process was requested to stop, by this plan.
     StopRequested(StopPlan),
 }
--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -1,4 +1,4 @@
-//! Handles events: keeps the dispatcher's state, and tells the decisions what they must know. One handler each.
+//! Event handlers, one for each event: they update the dispatcher's state and collect the inputs of the policy.
 
 use super::ended_ids::IdUse;
 use super::event::{CallNumber, Event};
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 impl DispatcherState {
-    /// Handles an event; what the decisions must know goes into `inputs`.
+    /// Handles an event; adds the resulting inputs of the policy to `inputs`.
     pub(super) fn handle(&mut self, event: Event, inputs: &mut Vec<Input>) {
         match event {
             Event::MessageReceived { message, reply_to } => {
@@ -38,7 +38,8 @@
         inputs.push(Input::Closed(message));
     }
 
-    /// The client submits the message again: unless another one has handed it in too, this one is nobody's any more.
+    /// Closes a message whose client did not get the reply that it was accepted: the client will submit it again. Keeps
+    /// the message if another client has submitted it too.
     fn on_client_unreachable(&mut self, message: MessageId, inputs: &mut Vec<Input>) {
         if !self.acceptances.was_last_client(message) {
             return;
@@ -48,7 +49,7 @@
             .borrow()
             .get(message.0)
             .is_some_and(|stored| stored.attempts.iter().any(|attempt| attempt.may_have_run));
-        // Under its id it must not be sent once more.
+        // The message must not be sent once more if it is submitted again under its id.
         if may_have_run {
             self.record_ended_id(message);
         }
@@ -67,8 +68,8 @@
         let deadline = self.clock.since_start(received.received_at) + received.metadata.time_to_deadline;
         let submission = match self.check_message(&received, deadline) {
             Ok(submission) => submission,
-            Err(answer) => {
-                let _ = reply_to.try_send(answer);
+            Err(reply) => {
+                let _ = reply_to.try_send(reply);
                 return;
             }
         };
@@ -84,8 +85,8 @@
         inputs.push(Input::Submitted { message, submission });
     }
 
-    /// A message of an id that is held. The id alone does not make it the one that is: told that it is accepted, the client
-    /// of another one would wait for what nobody holds, and the next message of its key would go before it.
+    /// Handles a submission under the id of a held message. It is accepted only if its content is the same: otherwise
+    /// its client would wait for a message that no relay holds, and the next message of its key would be sent first.
     fn on_id_already_held(
         &mut self,
         message: MessageId,
@@ -95,16 +96,16 @@
         let is_same =
             self.spool.borrow().get(message.0).is_some_and(|stored| received.is_same_as(&stored.accepted));
         if is_same {
-            info!("message {} came again while it is held", message.0);
+            info!("message {} was submitted again while it is held; accepted as the same message", message.0);
             self.acceptances.add_further(message, reply_to);
             return;
         }
-        info!("message {} is held, another one came under its id: rejected", message.0);
+        info!("submission rejected: message {} is held under the same id with other content", message.0);
         self.metrics.count_id_conflict();
         let _ = reply_to.try_send(SubmissionReply::Rejected { retry_after_ms: 0 });
     }
 
-    /// What the decisions are told of a message, or the answer if they are told nothing.
+    /// Returns the policy's view of a submitted message, or the reply to its client if it can't be accepted.
     fn check_message(
         &self,
         received: &ClientSubmission,
@@ -118,10 +119,13 @@
         let holds_earlier = self.successor_spool.may_hold_earlier();
         let is_in_order = self.is_in_order(&submission);
         if !mountshift_handover::active_accepts(is_in_order, self.is_handing_over, holds_earlier) {
-            debug!("message of key {:016x} is left to the successor", received.key);
+            debug!(
+                "submission of key {:016x} rejected: a successor accepts ordered messages or may hold earlier ones",
+                received.key
+            );
             return Err(SubmissionReply::Rejected { retry_after_ms: 0 });
         }
-        // Nobody could ever take it: it would be held until its deadline.
+        // The message could not be sent anywhere and would be held until its deadline.
         if !self.endpoints.has_destination(submission.destination) {
             return Err(SubmissionReply::Failed(SubmissionError::UnknownDestination));
         }
@@ -136,15 +140,15 @@
         Ok(submission)
     }
 
-    /// The place of a message among those of its key is what on-call staff need to follow its order.
+    /// Logs the ordering key and the local number of a message, so that on-call staff can follow the order of a key.
     fn log_ordering_key(&self, message: MessageId) {
         let spool = self.spool.borrow();
         let Some(stored) = spool.get(message.0) else { return };
         let AcceptedMessage { id, key, .. } = &stored.accepted;
-        debug!("message {} is number {} here, of key {key:016x}", String::from_utf8_lossy(id), message.0);
+        debug!("message {} has local number {} and key {key:016x}", String::from_utf8_lossy(id), message.0);
     }
 
-    /// Puts a message into the spool; none if there is no room.
+    /// Adds a message to the spool; returns none if the spool is full.
     fn accept_message(&mut self, received: ClientSubmission, deadline: Duration) -> Option<MessageId> {
         let id = received.id.clone();
         let accepted = AcceptedMessage {
@@ -165,11 +169,14 @@
         Some(message)
     }
 
-    /// Logged once, or clients that keep submitting would fill the log.
+    /// Logs that the spool is full; once, as clients that keep submitting would fill the log.
     fn log_spool_full(&mut self) {
         if !self.spool_full_logged {
             self.spool_full_logged = true;
-            warn!("spool: full with {} messages", self.spool.borrow().messages().len());
+            warn!(
+                "spool: full with {} messages; submissions are rejected",
+                self.spool.borrow().messages().len()
+            );
         }
     }
 
@@ -187,7 +194,7 @@
         }
     }
 
-    /// The rate limit in the report that came with an answer.
+    /// Returns the rate limit from the load report of a response.
     fn reported_rate_limit(&self, results: &CallResult) -> Option<f64> {
         let field = self.settings.rate_limit_field.as_deref()?;
         upstream::load_report_value(results.load_report.as_deref()?, field)
@@ -221,7 +228,8 @@
         inputs.push(Input::AttemptEnded { message, endpoint, elapsed, outcome, run, closed });
     }
 
-    /// The decisions let the key of the message rest from here on. Counted and logged apart from them.
+    /// Records that the hold-off of the message's ordering key begins. The policy enforces the hold-off; this record
+    /// serves the metrics, the log and the check that is independent of the policy.
     fn record_key_hold_off(&self, call: CallNumber, message: MessageId, outcome: Outcome) {
         let Some(key) = self.policy.borrow().ordering_key(message) else { return };
         let spool = self.spool.borrow();
@@ -229,7 +237,7 @@
         let id = stored.accepted.id.clone();
         self.metrics.count_key_rest(outcome.name());
         debug!(
-            "key {:016x} rests behind message {} and call {}: {}",
+            "key {:016x} on hold-off: message {} in call {} may still be running after outcome {}",
             key.0,
             String::from_utf8_lossy(&id),
             call.0,
@@ -257,11 +265,11 @@
 
     fn on_stop_requested(&mut self, plan: StopPlan, inputs: &mut Vec<Input>) {
         self.maintenance.borrow_mut().set_stopping();
-        // A successor takes over what is held: nothing more is sent from here.
+        // A successor takes over the held messages: this process makes no further attempts.
         if plan.is_handover {
             self.is_handing_over = true;
             self.files.raise_handover_marker();
-            info!("hands over to the process beside it");
+            info!("relay hands over to the process beside it, and sends nothing more");
             inputs.push(Input::HandoverStarted);
         }
     }
--- a/crates/relay/src/dispatch/key_hold_offs.rs
+++ b/crates/relay/src/dispatch/key_hold_offs.rs
@@ -1,48 +1,49 @@
-//! Measures the order of keys apart from the decisions: the span from the end of an attempt that may still be running to
-//! the first byte of the next message of its key.
+//! Measures hold-offs of ordering keys independently of the policy: the time from the end of an attempt that may still
+//! be running to the first byte of the next message of its key.
 
 use mountshift::interface::{MessageId, OrderingKey};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Rests remembered at most; the one that began first goes.
+/// Maximum number of hold-offs kept; the one that began first is dropped.
 const MAX_HOLD_OFFS: usize = 1_024;
 
-/// The end of an attempt that may still be running.
+/// The hold-off of a key after an attempt that may still be running.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct KeyHoldOff {
     pub(super) message: MessageId,
-    /// The client's id of the message.
+    /// Client-supplied id of the message.
     pub(super) id: Vec<u8>,
-    /// The number of the call that ended.
+    /// Number of the call that ended.
     pub(super) call: u64,
-    /// When the relay knew that it had ended.
+    /// Time at which the relay recorded the end of the attempt.
     pub(super) since: Duration,
 }
 
-/// The latest rest of each key behind which no other message has gone out.
+/// The latest hold-off of each key after which no other message of the key has been sent.
 #[derive(Debug, Default)]
 pub(super) struct KeyHoldOffs(RefCell<BTreeMap<OrderingKey, KeyHoldOff>>);
 
 impl KeyHoldOffs {
-    /// Notes that a key rests from now on.
-    pub(super) fn begin(&self, key: OrderingKey, rest: KeyHoldOff) {
-        let mut rests = self.0.borrow_mut();
-        rests.insert(key, rest);
-        if rests.len() > MAX_HOLD_OFFS {
-            let first = rests.iter().min_by_key(|(_, rest)| rest.since).map(|(key, _)| *key);
-            first.and_then(|key| rests.remove(&key));
+    /// Records that the hold-off of a key begins.
+    pub(super) fn begin(&self, key: OrderingKey, hold_off: KeyHoldOff) {
+        let mut hold_offs = self.0.borrow_mut();
+        hold_offs.insert(key, hold_off);
+        if hold_offs.len() > MAX_HOLD_OFFS {
+            let first = hold_offs.iter().min_by_key(|(_, hold_off)| hold_off.since).map(|(key, _)| *key);
+            first.and_then(|key| hold_offs.remove(&key));
         }
     }
 
-    /// The rest that ends with the first byte of this message; none if there is none, or it is the message's own.
+    /// Removes and returns the hold-off of the key, as this message is about to be sent; returns none if there is no
+    /// hold-off, or if the message itself caused it.
     pub(super) fn end(&self, key: OrderingKey, message: MessageId) -> Option<KeyHoldOff> {
-        let mut rests = self.0.borrow_mut();
-        if rests.get(&key)?.message == message {
+        let mut hold_offs = self.0.borrow_mut();
+        if hold_offs.get(&key)?.message == message {
             return None;
         }
-        rests.remove(&key)
+        hold_offs.remove(&key)
     }
 }
 
--- a/crates/relay/src/dispatch/mod.rs
+++ b/crates/relay/src/dispatch/mod.rs
@@ -1,5 +1,6 @@
-//! The dispatcher: gathers what happened into steps, lets the decisions of `mountshift` take place, and carries them
-//! out, in step with the spool. It decides nothing itself. Everything runs on one thread.
+//! The dispatcher: collects events into steps, runs the delivery policy of `mountshift` once per step, and executes
+//! the resulting actions after the spool has recorded them. It makes no delivery decisions itself. Everything runs on
+//! one thread.
 
 mod actions;
 mod calls;
@@ -29,31 +30,32 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Between two looks at idle connections: those that an endpoint closed are let go.
+/// Interval between checks for idle connections that their endpoints have closed.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A step so late means that the process did not run meanwhile.
+/// Delay of a step beyond its due time from which the process counts as having been suspended.
 const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(100);
-/// After such a pause, the time for the other tasks to read what came meanwhile.
+/// Time that the other tasks get after a suspension of the process to read the data that arrived meanwhile.
 const CATCH_UP_TIME: Duration = Duration::from_millis(20);
 
-/// Takes events, decides in steps, and carries the steps out.
+/// Receives events, runs the policy in steps, and executes the steps.
 pub(crate) struct Dispatcher {
     state: DispatcherState,
     events: Receiver<Event>,
-    /// Set once the process was told to stop.
+    /// Set once the process has been requested to stop.
     stopping: Option<Stopping>,
     idle_checked_at: Instant,
     orphans_checked_at: Instant,
-    /// Client connections open now.
+    /// Number of open client connections.
     client_connections: Rc<Cell<usize>>,
-    /// Closed once client connections are to go.
+    /// Closed once client connections must be closed.
     clients_stopping: Receiver<()>,
-    /// Closed shortly before the end: clients hear the answers they are owed, nothing more is read.
+    /// Closed shortly before the process exits: clients get the outstanding replies, no further request is read.
     clients_ending: Sender<()>,
 }
 
 impl Dispatcher {
-    /// Makes the dispatcher, and takes the first step with what earlier processes and the configuration left.
+    /// Creates the dispatcher and runs the first step, with the configured endpoint list and the state that earlier
+    /// processes stored.
     pub(crate) fn new(mut dependencies: Dependencies) -> Dispatcher {
         let clock = Clock::new(dependencies.stored_time, oldest_attempt_ms(&dependencies.spool));
         let initial_list = dependencies.initial_list.take();
@@ -81,7 +83,7 @@
         dispatcher
     }
 
-    /// Takes steps until the relay is told to stop and what is in flight has ended.
+    /// Runs steps until the relay has been requested to stop and its calls have ended, or the stop times out.
     pub(crate) async fn run(mut self) {
         self.idle_checked_at = Instant::now();
         loop {
@@ -112,7 +114,8 @@
         }
     }
 
-    /// From time to time: what a successor has left that ended too early. Not while stopping: the next process finds it.
+    /// Takes over, every `ORPHAN_CHECK_INTERVAL`, the messages of a successor that exited before it became active. Not
+    /// while stopping: the next process will find them.
     fn take_over_orphaned_messages(&mut self) -> Vec<Input> {
         let mut inputs = Vec::new();
         if self.stopping.is_none() && self.orphans_checked_at.elapsed() >= ORPHAN_CHECK_INTERVAL {
@@ -123,19 +126,20 @@
         inputs
     }
 
-    /// Waits for an event, or until there is something to do without one. All that comes within the shortest gap
-    /// between two steps comes together.
+    /// Waits for an event or for the next check, and for the minimum interval between two steps; returns all events
+    /// that have arrived by then.
     async fn next_events(&mut self) -> Vec<Event> {
-        let look = self.next_check_at();
-        let nothing_came = async {
-            Timer::at(look).await;
+        let check_at = self.next_check_at();
+        let timed_out = async {
+            Timer::at(check_at).await;
             None
         };
-        let first = async { self.events.recv().await.ok() }.or(nothing_came).await;
-        let gap = self.state.settings.min_step_interval;
-        Timer::at(self.state.clock.instant(self.state.now) + gap).await;
-        // Rule 3, where the process did not run for a while: what was told meanwhile is read before a decision.
-        if Instant::now().saturating_duration_since(look + gap) > PROCESS_STALL_THRESHOLD {
+        let first = async { self.events.recv().await.ok() }.or(timed_out).await;
+        let min_interval = self.state.settings.min_step_interval;
+        Timer::at(self.state.clock.instant(self.state.now) + min_interval).await;
+        // After a suspension of the process, endpoint updates that arrived meanwhile are read before the policy runs,
+        // so that it doesn't send to an endpoint that is draining or removed (rule 3).
+        if Instant::now().saturating_duration_since(check_at + min_interval) > PROCESS_STALL_THRESHOLD {
             Timer::after(CATCH_UP_TIME).await;
         }
         if self.idle_checked_at.elapsed() >= IDLE_CHECK_INTERVAL {
@@ -149,8 +153,8 @@
         events
     }
 
-    /// When there is something to do without an event: a step that the decisions want, a look at idle connections, or
-    /// one at what is left before the end.
+    /// Returns the time at which there is work without an event: a step that the policy requested, a check of idle
+    /// connections, a retry of failed writes, or a check whether the process can exit.
     fn next_check_at(&self) -> Instant {
         let check = if self.stopping.is_some() || self.state.has_unwritten() {
             Instant::now() + STOP_CHECK_INTERVAL
@@ -168,7 +172,7 @@
         self.state.next_wake.is_some_and(|wake| wake <= now)
     }
 
-    /// The first request to stop stands, whatever comes after it.
+    /// Records the first stop request; later ones don't change it.
     fn record_stop_request(&mut self, events: &[Event]) {
         for event in events {
             if let Event::StopRequested(plan) = event
@@ -179,7 +183,7 @@
         }
     }
 
-    /// Lets the decisions take place, and carries them out.
+    /// Runs the policy with these inputs and executes its actions.
     fn step(&mut self, inputs: Vec<Input>) {
         let now = self.state.now;
         if self.state.next_wake.is_some_and(|wake| wake <= now) {
@@ -191,11 +195,11 @@
             attempt.needs_record = !policy.borrow().may_send_without_record(attempt.message);
         }
         self.state.execute_step();
-        for question in std::mem::take(&mut self.state.send_permission_requests) {
-            let known = self.state.endpoints.get(question.endpoint);
-            let is_there = known.is_some_and(|known| known.address == question.address);
-            let may_send = is_there && policy.borrow().may_send_to(question.endpoint, now);
-            let _ = question.reply_to.try_send(may_send);
+        for request in std::mem::take(&mut self.state.send_permission_requests) {
+            let known = self.state.endpoints.get(request.endpoint);
+            let has_same_address = known.is_some_and(|known| known.address == request.address);
+            let may_send = has_same_address && policy.borrow().may_send_to(request.endpoint, now);
+            let _ = request.reply_to.try_send(may_send);
         }
         let held = self.state.spool.borrow().messages().len();
         let calls = self.state.calls_in_flight.len();
@@ -203,7 +207,7 @@
     }
 }
 
-/// When the oldest attempt that the spool tells of was sent, Unix milliseconds.
+/// Returns the time at which the oldest attempt recorded in the spool was sent, in Unix milliseconds.
 fn oldest_attempt_ms(spool: &Spool) -> Option<u64> {
     let attempts = spool.messages().values().flat_map(|stored| &stored.attempts);
     attempts.map(|attempt| attempt.at).min()
--- a/crates/relay/src/dispatch/restore.rs
+++ b/crates/relay/src/dispatch/restore.rs
@@ -1,4 +1,4 @@
-//! Tells the decisions what earlier processes of the relay left: routes after a handover, messages in the spool.
+//! Restores the state that earlier processes of the relay stored: routes after a handover, and messages in the spool.
 
 use super::calls::batch_entry_bytes;
 use super::state::DispatcherState;
@@ -10,15 +10,15 @@
 use mountshift_spool::{AcceptedMessage, AttemptRecord, FinalOutcome, StoredMessage};
 use std::time::Duration;
 
-/// A time that is not "none" or "due", which zero means, is at least this.
+/// Minimum of a restored time. Zero means "none" or "due now".
 const MIN_NONZERO_TIME: Duration = Duration::from_millis(1);
 
 impl DispatcherState {
-    /// Restores routes: a `Retry-After` and a slow start bind beyond a handover (rules 4 and 6).
+    /// Restores routes: a `Retry-After` and a slow start still apply after a handover (rules 4 and 6).
     pub(super) fn restore_routes(&mut self, snapshot: Snapshot, inputs: &mut Vec<Input>) {
         let now_ms = self.clock.unix_ms(self.now);
         let snapshot = snapshot.without_expired(now_ms);
-        debug!("restores at {now_ms}: {}", snapshot.to_json());
+        debug!("restoring route snapshot at {now_ms} ms Unix time: {}", snapshot.to_json());
         let mut restored = Vec::new();
         for route in &snapshot.routes {
             restored.extend(self.restored_route(route));
@@ -27,7 +27,7 @@
         inputs.push(Input::RoutesRestored(restored));
     }
 
-    /// A route as the decisions know it; none if its endpoint is not on the list any more.
+    /// Converts a stored route for the policy; returns none if its endpoint is no longer on the list.
     fn restored_route(&self, record: &RouteRecord) -> Option<RouteSnapshot> {
         let endpoint = match &record.endpoint {
             Some(name) => Some(self.endpoints.id_of(name)?),
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Restores every message that the spool holds from before.
+    /// Restores every message that earlier processes stored in the spool.
     pub(super) fn restore_spool(&mut self, inputs: &mut Vec<Input>) {
         let stored_messages = self.spool.borrow().messages().clone();
         for (number, stored) in stored_messages {
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Takes over what a successor accepted that has ended before it was active: nobody else would send it before the
-    /// next start of a process. Nothing is decided on it before the successor's own record of it is gone: else a process
-    /// after this one would take it over once more.
+    /// Takes over the messages of a successor that exited before it became active: otherwise they would not be sent
+    /// before the next start of a process. The policy gets them only after the successor's spool is removed: otherwise
+    /// a later process would take them over a second time.
     pub(super) fn adopt_orphaned_messages(&mut self, inputs: &mut Vec<Input>) {
         let Some(orphaned) = self.successor_spool.take_orphaned() else { return };
         let mut adopted = Vec::new();
@@ -80,14 +80,14 @@
         }
         let is_committed = self.commit_spool();
         if !is_committed || orphaned.remove().is_err() {
-            // Tried again at the next look.
+            // Retried at the next check.
             for (message, _) in adopted {
                 self.spool.borrow_mut().remove(message.0);
             }
             return;
         }
         self.successor_spool.note_taken_over();
-        info!("takes over {} messages of a successor that has ended", adopted.len());
+        info!("took over {} messages of a successor that exited before it became active", adopted.len());
         for stored in left_out {
             fail_left_out(stored, &self.notifications);
         }
@@ -109,7 +109,7 @@
         let submission = self.restored_submission(&stored);
         let mut final_outcome = stored.pending_outcome;
         if submission.is_none() && final_outcome.is_none() {
-            // Of a class that the settings no longer hold: nobody could decide on it.
+            // The settings no longer have the message's class, so the policy can't handle it.
             final_outcome = Some(FinalOutcome::Failed);
         }
         if let Some(outcome) = final_outcome {
@@ -118,7 +118,7 @@
         let Some(submission) = submission else { return };
         inputs.push(Input::Submitted { message, submission });
         if final_outcome.is_some() {
-            // Until the notification is taken it holds back the rest of its key.
+            // Until the notification is acknowledged, the message blocks the later messages of its key.
             inputs.push(Input::FinalAnswerPending(message));
         }
         for attempt in &stored.attempts {
--- a/crates/relay/src/dispatch/shutdown.rs
+++ b/crates/relay/src/dispatch/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process: when it comes, and what is done last.
+//! Shutdown of the dispatcher: the conditions for the exit of the process, and the final steps before it.
 
 use super::Dispatcher;
 use super::state::DispatcherState;
@@ -9,14 +9,14 @@
 use mountshift_handover::StopPlan;
 use std::time::{Duration, Instant};
 
-/// Between two looks at whether everything has ended, while stopping.
+/// Interval between checks while the process is stopping or has failed writes to retry.
 pub(super) const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// At the end: the time for writes that failed to be done after all. SIGKILL comes 0.2 s after the end at the earliest.
+/// Time for retries of failed writes before the exit. SIGKILL comes at the earliest 0.2 s after the exit timeout.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(60);
-/// Between two tries within that time.
+/// Interval between two retries of failed writes before the exit.
 const FINAL_WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The process was told to stop.
+/// A stop that was requested.
 #[derive(Clone, Copy)]
 pub(super) struct Stopping {
     pub(super) since: Instant,
@@ -24,13 +24,13 @@
 }
 
 impl Stopping {
-    /// How far the stop has come.
+    /// Returns the current progress of the stop.
     pub(super) fn progress(self) -> StopProgress {
         StopProgress { elapsed: self.since.elapsed(), plan: self.plan }
     }
 }
 
-/// How far a stop has come.
+/// Progress of a stop.
 #[derive(Clone, Copy)]
 pub(super) struct StopProgress {
     elapsed: Duration,
@@ -38,20 +38,20 @@
 }
 
 impl StopProgress {
-    /// True while the decisions go on. In a handover they do to the end, sending nothing: final answers that fall due
-    /// are still given.
+    /// Returns whether the policy still runs. In a handover it runs until the exit, without sending attempts, so that
+    /// final answers that become due are still given.
     pub(super) fn should_run_policy(self) -> bool {
         self.elapsed < self.plan.send_duration || self.plan.is_handover
     }
 
-    /// True once messages may be left in the spool for the next process.
+    /// Returns whether messages may be left in the spool for the next process.
     fn may_leave_messages(self) -> bool {
         self.plan.is_handover || self.elapsed >= self.plan.send_duration
     }
 }
 
 impl Dispatcher {
-    /// True once the process can end, or has to.
+    /// Returns whether the process can or must exit.
     pub(super) fn is_done(&self, stop: StopProgress) -> bool {
         if stop.elapsed >= stop.plan.exit_timeout {
             return true;
@@ -61,9 +61,9 @@
         clients_gone && nothing_in_flight && (stop.may_leave_messages() || !self.state.has_open_messages())
     }
 
-    /// Takes in what has come by now, and lets clients hear which messages were accepted. Without that a delivery
-    /// that the spool does not know would be sent again, and so would a message in the spool whose client never heard
-    /// and submits it again.
+    /// Handles the remaining events and sends clients the replies for accepted messages. Without that, the next process
+    /// would send a message again whose delivery is not recorded in the spool; and a message in the spool would be sent
+    /// twice if its client got no reply and submits it again.
     pub(super) async fn finish(mut self) {
         self.clients_ending.close();
         let mut rounds = FinalRounds::begin();
@@ -89,7 +89,7 @@
 }
 
 impl Dispatcher {
-    /// The last chance: what can't be written now, the next process does not know.
+    /// Retries failed writes a last time: the next process won't have what can't be written now.
     async fn flush_unwritten(&mut self) {
         let end = Instant::now() + FINAL_WRITE_TIMEOUT;
         while self.state.has_unwritten() && Instant::now() < end {
@@ -98,20 +98,23 @@
             self.state.retry_writes();
         }
         if self.state.has_unwritten() {
-            error!("state folder: not all could be written before the end");
+            error!(
+                "state folder: writes still failed at the exit; the next process lacks what was not written"
+            );
         }
     }
 }
 
 impl DispatcherState {
-    /// Carries out a step in which nothing is decided: outcomes are recorded, messages wait in the spool for the next
-    /// process. Late calls hear nothing, and are not sent.
+    /// Executes a step without running the policy: records outcomes, and leaves messages in the spool for the next
+    /// process. Delayed calls get no send permission and are not sent.
     pub(super) fn execute_without_policy(&mut self) {
         self.execute_step();
         self.send_permission_requests.clear();
     }
 
-    /// Calls whose last byte is not written can't run any more.
+    /// Drops the calls that are recorded but not written to their last byte, and records that they were not processed:
+    /// the endpoint can't run an incomplete call.
     fn abandon_unwritten_calls(&mut self) {
         for call in self.calls_in_flight.values_mut() {
             if call.stage.get() != CallStage::Recorded {
--- a/crates/relay/src/dispatch/state.rs
+++ b/crates/relay/src/dispatch/state.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher holds: messages, calls in flight, endpoints, and what the step under way collects.
+//! State of the dispatcher: messages, calls in flight, endpoints, and the actions collected during the current step.
 
 use super::dependencies::Dependencies;
 use super::ended_ids::EndedIds;
@@ -29,73 +29,73 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The tenant of messages whose tenant the settings don't name: it has no quota. Were it the first one, unknown
-/// tenants would draw on that one's share.
+/// Tenant of messages whose tenant is not in the settings; it has no quota. An id from the settings would let unknown
+/// tenants use the quota of that tenant.
 const UNKNOWN_TENANT: TenantId = TenantId(u32::MAX);
-/// On the wire, the key of a message that is in no order.
+/// Ordering key on the wire of a message without an ordering key.
 const NO_ORDERING_KEY: u64 = 0;
 
 /// A call in flight.
 pub(super) struct CallInFlight {
     pub(super) endpoint: EndpointId,
     pub(super) sent_at: Duration,
-    /// The messages whose attempts have not ended.
+    /// Messages whose attempts have not ended.
     pub(super) messages: BTreeSet<MessageId>,
-    /// Those of them that the decisions cancelled.
+    /// Messages of the call that the policy has cancelled.
     pub(super) cancelled: BTreeSet<MessageId>,
     pub(super) stage: Rc<Cell<CallStage>>,
     /// Dropping it closes the call's connection.
     pub(super) task: Option<Task<()>>,
 }
 
-/// A message's attempt that the step under way decided.
+/// An attempt of a message that the policy decided in the current step.
 #[derive(Clone, Copy)]
 pub(super) struct PendingAttempt {
     pub(super) message: MessageId,
-    /// It ends as timed out after this.
+    /// Time limit, after which the attempt ends as timed out.
     pub(super) limit: Duration,
-    /// It may be sent only once the spool has recorded it.
+    /// Whether the spool must record the attempt before it may be sent.
     pub(super) needs_record: bool,
 }
 
-/// A notification whose final outcome the spool has not recorded yet.
+/// A notification whose final outcome the spool has not committed yet.
 pub(super) struct PendingNotification {
     pub(super) notification: Notification,
-    /// When its message is due.
+    /// Deadline of its message.
     pub(super) deadline: Duration,
 }
 
-/// The attempts of the step under way to one endpoint.
+/// The attempts of the current step to one endpoint.
 pub(super) struct PendingSends {
     pub(super) endpoint: EndpointId,
     pub(super) attempts: Vec<PendingAttempt>,
 }
 
-/// A closed message that the spool keeps for a while.
+/// A closed message that the spool keeps until the given time.
 pub(super) struct ClosedMessage {
     message: MessageId,
     until: Duration,
 }
 
-/// A late call that waits to hear whether it may still be sent.
+/// The request of a delayed call whether it may still be sent.
 pub(super) struct SendPermissionRequest {
     pub(super) endpoint: EndpointId,
-    /// Where the call goes.
+    /// Address that the call is connected to.
     pub(super) address: SocketAddr,
     pub(super) reply_to: Sender<bool>,
 }
 
-/// What the decisions are about. It is their [`Actions`].
+/// State of the dispatcher. Implements the [`Actions`] of the policy.
 pub(super) struct DispatcherState {
     pub(super) clock: Clock,
-    /// The decisions; a call asks them again right before its first byte.
+    /// The delivery policy; shared with calls, which check its rules again right before their first byte.
     pub(super) policy: Rc<RefCell<DeliveryPolicy>>,
     pub(super) metrics: Rc<Metrics>,
     pub(super) violations: Rc<Violations>,
-    /// The time of the step under way.
+    /// Time of the current step.
     pub(super) now: Duration,
     pub(super) settings: SocketSettings,
-    /// Messages in one call at most, by kind of destination.
+    /// Maximum number of messages in one call, by kind of destination.
     pub(super) max_batches: Vec<usize>,
     pub(super) spool: Rc<RefCell<Spool>>,
     pub(super) endpoints: EndpointTable,
@@ -105,37 +105,37 @@
     pub(super) notifications: Sender<Notification>,
     pub(super) poll_requests: Sender<()>,
     pub(super) maintenance: Rc<RefCell<MaintenanceState>>,
-    /// Endpoints known to be draining or removed, whatever an older list says.
+    /// Endpoints that discovery reported as draining or removed, which an older list must not undo.
     pub(super) drain_record: DrainRecord,
     pub(super) files: StateFiles,
     pub(super) successor_spool: SuccessorSpool,
-    /// Told to stop, with a successor beside it.
+    /// Whether the process was requested to stop while a successor runs, which takes over.
     pub(super) is_handing_over: bool,
-    /// Which message classes keep their messages in order.
+    /// Whether messages are kept in order, by message class.
     ordered_classes: Vec<bool>,
-    /// The messages in the spool, by the ids that clients gave them.
+    /// Messages in the spool that are not closed, by client-supplied id.
     pub(super) messages_by_id: BTreeMap<Vec<u8>, MessageId>,
     pub(super) ended_ids: EndedIds,
     pub(super) calls_in_flight: BTreeMap<CallNumber, CallInFlight>,
     pub(super) key_hold_offs: Rc<KeyHoldOffs>,
-    /// How long a key rests behind an attempt that may still be running.
+    /// Pause of an ordering key after an attempt that may still be running.
     pub(super) order_hold_off: Duration,
     pub(super) last_call_number: u64,
-    /// When the decisions want the next step at the latest.
+    /// Latest time for the next step, as requested by the policy.
     pub(super) next_wake: Option<Duration>,
-    /// The spool had no room for the last message, and the log says so.
+    /// Whether the spool had no room for the last message and this has been logged.
     pub(super) spool_full_logged: bool,
-    /// The clients of the messages that are held.
+    /// Clients of the messages that are held.
     pub(super) acceptances: Acceptances,
-    /// Closed messages that a process after this one has to know of.
+    /// Closed messages that the spool still keeps for the next process.
     pub(super) closed_messages: Vec<ClosedMessage>,
-    /// Final outcomes that the platform hears of once the spool has recorded them.
+    /// Notifications that are sent once the spool has committed the final outcomes.
     pub(super) pending_notifications: Vec<PendingNotification>,
-    /// The spool could not be written at the last try, and the log says so.
+    /// Whether the last commit of the spool failed and this has been logged.
     pub(super) spool_failure_logged: bool,
-    /// What the step under way sends.
+    /// Attempts that the current step sends.
     pub(super) pending_sends: Vec<PendingSends>,
-    /// What the step under way is asked.
+    /// Delayed calls that are answered in the current step.
     pub(super) send_permission_requests: Vec<SendPermissionRequest>,
 }
 
@@ -189,8 +189,8 @@
         }
     }
 
-    /// Ends a message undelivered: its client hears so if it still waits, else the platform. True if the client took
-    /// it, so that the message is closed.
+    /// Ends a message undelivered, with a reply to its client if that still waits, else with a notification to the
+    /// platform. Returns whether the client got the reply, which closes the message.
     pub(super) fn end_undelivered(
         &mut self,
         message: MessageId,
@@ -214,7 +214,8 @@
         false
     }
 
-    /// Rule 1: one final answer. True if the message has one; then a second one is a violation.
+    /// Returns whether the message already has its final answer, and reports that as a violation: a message gets one
+    /// final answer (rule 1).
     fn is_second_final_answer(&self, message: MessageId) -> bool {
         let spool = self.spool.borrow();
         let Some(stored) = spool.get(message.0).filter(|stored| stored.pending_outcome.is_some()) else {
@@ -248,15 +249,15 @@
         debug!("{}", Transition { message: id, from, to, reason, ..Transition::default() });
     }
 
-    /// Queues the notification of a final outcome that the spool knows already.
+    /// Queues the notification of a final outcome that the spool has already recorded.
     pub(super) fn notify(&self, message: MessageId, outcome: FinalOutcome) {
         if let Some(notification) = self.notification(message, outcome) {
             let _ = self.notifications.try_send(notification);
         }
     }
 
-    /// Rule 1: a final outcome that the platform has heard of and a later process has not would be followed by a second
-    /// one. So it waits for the spool.
+    /// Sends the notification once the spool has committed the outcome. If the platform got an outcome that is not in
+    /// the spool, a later process would send a second one, which rule 1 forbids.
     fn notify_once_recorded(&mut self, message: MessageId, outcome: FinalOutcome) {
         let Some(notification) = self.notification(message, outcome) else { return };
         let deadline_ms = self.spool.borrow().get(message.0).map_or(0, |stored| stored.accepted.deadline);
@@ -264,8 +265,8 @@
         self.pending_notifications.push(PendingNotification { notification, deadline });
     }
 
-    /// Sends the notifications that may go. While the spool can't be written these are the ones of messages whose
-    /// deadline is over: no later process sends those, whatever it knows of them.
+    /// Sends the pending notifications whose outcomes are committed. While the spool can't be written, sends only those
+    /// of messages past their deadline: a later process makes no attempt for these, whatever the spool has recorded.
     pub(super) fn release_notifications(&mut self, is_committed: bool) {
         let now = self.now;
         let (due, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending_notifications)
@@ -283,7 +284,7 @@
         Some(Notification { message, id, outcome })
     }
 
-    /// Removes a message that is closed.
+    /// Removes a closed message.
     pub(super) fn remove_message(&mut self, message: MessageId) {
         let mut spool = self.spool.borrow_mut();
         if let Some(stored) = spool.get(message.0) {
@@ -295,8 +296,8 @@
         }
     }
 
-    /// Removes a message that is closed, or keeps it in the spool as one that has ended for as long as the next process
-    /// has to know of it.
+    /// Removes a closed message; or, if the next process needs its record, keeps it in the spool with a final outcome
+    /// for that long.
     pub(super) fn close_in_spool(&mut self, message: MessageId, attempt: ClosingAttempt) {
         let until = self.policy.borrow().record_needed_until(message, self.now, attempt);
         let Some(until) = until else { return self.remove_message(message) };
@@ -304,14 +305,15 @@
         let Some(stored) = spool.get(message.0) else { return };
         self.messages_by_id.remove(&stored.accepted.id);
         self.acceptances.forget(message);
-        // A process that finds it tells its end once more, which does no harm, and sends nothing of it.
+        // A later process that finds the outcome notifies the platform once more, which is harmless, and makes no
+        // attempt of the message.
         if stored.pending_outcome.is_none() {
             spool.record_outcome(message.0, FinalOutcome::Failed);
         }
         self.closed_messages.push(ClosedMessage { message, until });
     }
 
-    /// Removes closed messages that no later process has to know of any more.
+    /// Removes closed messages whose record a later process no longer needs.
     pub(super) fn remove_closed_messages(&mut self) {
         let now = self.now;
         let (due, kept): (Vec<_>, Vec<_>) =
@@ -322,12 +324,12 @@
         }
     }
 
-    /// True if a message in the spool is not closed.
+    /// Returns whether the spool has a message that is not closed.
     pub(super) fn has_open_messages(&self) -> bool {
         self.spool.borrow().messages().len() > self.closed_messages.len()
     }
 
-    /// Remembers the id of a message that ended.
+    /// Records the id and content of a message that ended.
     pub(super) fn record_ended_id(&mut self, message: MessageId) {
         let spool = self.spool.borrow();
         let Some(AcceptedMessage { id, key, metadata, body, .. }) =
@@ -340,12 +342,12 @@
         }
     }
 
-    /// True if the message has its place among those of a key.
+    /// Returns whether the message must be delivered in the order of its ordering key.
     pub(super) fn is_in_order(&self, submission: &Submission) -> bool {
         submission.key.is_some() && self.ordered_classes[usize::from(submission.class.0)]
     }
 
-    /// What the decisions are told of a message; none if the settings don't know its class.
+    /// Returns the policy's view of a message; none if its class is not in the settings.
     pub(super) fn submission(
         &self,
         metadata: &SubmissionMetadata,
--- a/crates/relay/src/upstream/attempt.rs
+++ b/crates/relay/src/upstream/attempt.rs
@@ -77,7 +77,7 @@
 
 impl CallResult {
     /// The same end for all messages of a call.
-    pub(crate) fn same_for_all(
+    pub(crate) fn uniform(
         messages: impl IntoIterator<Item = MessageId>,
         outcome: Outcome,
         end: CallEnd,
@@ -118,7 +118,7 @@
 pub(crate) struct Call {
     /// Its number, for log lines.
     pub(crate) number: u64,
-    pub(crate) to: EndpointId,
+    pub(crate) endpoint_id: EndpointId,
     pub(crate) endpoint: Endpoint,
     pub(crate) messages: Vec<CallMessage>,
     /// From the decision on; then it ends as timed out.
@@ -145,7 +145,7 @@
         };
         let result = match self.send(pool, deadline).or(late).await {
             Ok(connection) => self.receive(connection, deadline, pool).await,
-            Err(outcome) => self.same_for_all(outcome, CallEnd::NotWritten, false),
+            Err(outcome) => self.uniform_result(outcome, CallEnd::NotWritten, false),
         };
         self.log_end(&result);
         report(result);
@@ -176,23 +176,23 @@
         }
     }
 
-    fn same_for_all(&self, outcome: Outcome, end: CallEnd, closed: bool) -> CallResult {
-        CallResult::same_for_all(self.messages.iter().map(|message| message.message), outcome, end, closed)
+    fn uniform_result(&self, outcome: Outcome, end: CallEnd, closed: bool) -> CallResult {
+        CallResult::uniform(self.messages.iter().map(|message| message.message), outcome, end, closed)
     }
 
     /// No whole answer came. Whatever the outcome, the endpoint may still be at work: the relay gave the call up, or its
     /// connection ended.
     fn interrupted_result(&self, outcome: Outcome) -> CallResult {
-        self.same_for_all(outcome, CallEnd::Interrupted, false)
+        self.uniform_result(outcome, CallEnd::Interrupted, false)
     }
 
-    fn answered(&self, outcome: Outcome, closed: bool) -> CallResult {
-        self.same_for_all(outcome, CallEnd::Answered, closed)
+    fn answered_result(&self, outcome: Outcome, closed: bool) -> CallResult {
+        self.uniform_result(outcome, CallEnd::Answered, closed)
     }
 
     /// An idle connection that can be used, or a new one.
     async fn connect(&self, pool: &ConnectionPool) -> Result<HttpConnection, Outcome> {
-        if let Some(connection) = pool.take(self.to, self.endpoint.address) {
+        if let Some(connection) = pool.take(self.endpoint_id, self.endpoint.address) {
             return Ok(connection);
         }
         let late = async {
@@ -213,7 +213,7 @@
         let mut connection = self.connect(pool).await?;
         if !self.is_still_allowed().await {
             info!("call to endpoint {} not made: no longer allowed", self.endpoint.name);
-            pool.put_back(self.to, connection);
+            pool.put_back(self.endpoint_id, connection);
             return Err(Outcome::NotSent);
         }
         // The answer to that may have taken long, and the time of a kept connection may have run out since.
@@ -222,19 +222,19 @@
         }
         // Where the connection and the end of its time are here at once, no byte may go out behind the limit.
         if Instant::now() >= deadline {
-            pool.put_back(self.to, connection);
+            pool.put_back(self.endpoint_id, connection);
             return Err(Outcome::ConnectFailed);
         }
         let request = self.request();
         // Recorded only now: where the process ends while a connection comes up, the message surely has not run.
         let recording_since = Instant::now();
         if let Err(outcome) = (self.record_attempts)() {
-            pool.put_back(self.to, connection);
+            pool.put_back(self.endpoint_id, connection);
             return Err(outcome);
         }
         self.stage.set(CallStage::Recorded);
         if let Err(outcome) = self.check_after_record(recording_since, deadline).await {
-            pool.put_back(self.to, connection);
+            pool.put_back(self.endpoint_id, connection);
             return Err(outcome);
         }
         debug!("call to endpoint {}: {}", self.endpoint.name, String::from_utf8_lossy(&request));
@@ -296,11 +296,11 @@
         };
         let is_first = connection.requests == 1;
         if reusable {
-            pool.put_back(self.to, connection);
+            pool.put_back(self.endpoint_id, connection);
         }
         if is_connection_limit(&response, is_first, reusable) {
             debug!("endpoint {} had no room for another connection", self.endpoint.name);
-            return self.answered(Outcome::ConnectionLimit, false);
+            return self.answered_result(Outcome::ConnectionLimit, false);
         }
         let mut result = self.interpret(&response);
         result.load_report = response.load_report;
@@ -318,26 +318,26 @@
         match response.status {
             // The first line is all that counts. The endpoint may go on with the rest of it all the same.
             200 if self.messages.len() == 1 && !response.complete => {
-                self.same_for_all(Outcome::Delivered, CallEnd::Interrupted, true)
+                self.uniform_result(Outcome::Delivered, CallEnd::Interrupted, true)
             }
-            200 if self.messages.len() == 1 => self.answered(Outcome::Delivered, true),
+            200 if self.messages.len() == 1 => self.answered_result(Outcome::Delivered, true),
             200 if !response.complete => self.interrupted_result(Outcome::Error),
             200 => self.interpret_batch(&response.body, retry_after),
-            429 => self.answered(Outcome::Rejected { retry_after }, false),
-            503 if response.slots_taken => self.answered(Outcome::NotSent, false),
-            503 => self.answered(Outcome::Rejected { retry_after }, false),
-            504 => self.answered(Outcome::NotSent, false),
-            410 => self.answered(Outcome::NotSent, true),
+            429 => self.answered_result(Outcome::Rejected { retry_after }, false),
+            503 if response.slots_taken => self.answered_result(Outcome::NotSent, false),
+            503 => self.answered_result(Outcome::Rejected { retry_after }, false),
+            504 => self.answered_result(Outcome::NotSent, false),
+            410 => self.answered_result(Outcome::NotSent, true),
             // By the protocol nothing of a call of several messages has run that can't be read or is too large.
             400 | 413 if self.messages.len() > 1 => {
                 error!("endpoint {} answered {} to a batch", self.endpoint.name, response.status);
-                self.answered(Outcome::Rejected { retry_after: Duration::ZERO }, false)
+                self.answered_result(Outcome::Rejected { retry_after: Duration::ZERO }, false)
             }
             400 | 404 | 413 => {
                 error!("endpoint {} answered {}", self.endpoint.name, response.status);
-                self.answered(Outcome::Error, false)
+                self.answered_result(Outcome::Error, false)
             }
-            _ => self.answered(Outcome::Error, false),
+            _ => self.answered_result(Outcome::Error, false),
         }
     }
 
--- a/crates/relay/src/upstream/tests.rs
+++ b/crates/relay/src/upstream/tests.rs
@@ -61,7 +61,7 @@
     let body = vec![b'x'; body];
     Call {
         number: 1,
-        to: EndpointId(1),
+        endpoint_id: EndpointId(1),
         endpoint,
         messages: vec![CallMessage {
             message: MessageId(1),
