--- a/crates/relay/src/upstream/attempt.rs
+++ b/crates/relay/src/upstream/attempt.rs
@@ -1,7 +1,7 @@
-//! One call to an endpoint, from its connection to its response: it carries an attempt of each of its messages.
+//! One call to an endpoint, from its connection to its response. A call carries one attempt of each of its messages.
 //!
-//! A call goes through the stages of [`CallStage`], so that whoever drops it knows whether its messages may have run.
-//! Makes each call once; whether and when there is another one, the decisions say.
+//! A call goes through the stages of [`CallStage`], so that code that drops it can determine whether its messages may
+//! have run. A call is made once; the policy decides whether and when to retry.
 
 use super::connection_pool::ConnectionPool;
 use super::endpoint_table::Endpoint;
@@ -19,17 +19,18 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Bytes of a response's body at most: a line for each message of the largest batch is far less.
+/// Maximum size of a response body: one line for each message of the largest batch is far less.
 const MAX_RESPONSE_BYTES: usize = 256 * 1024;
-/// A call whose first byte goes out longer after the decision asks first whether it still may.
+/// Delay after the decision from which a call needs permission again before its first byte is sent.
 const DELAYED_SEND_THRESHOLD: Duration = Duration::from_millis(50);
-/// The longest `Retry-After` that is taken as told, in seconds; a longer one is cut to it.
+/// Maximum `Retry-After` in seconds; a longer one is reduced to this.
 const MAX_RETRY_AFTER_SECONDS: f64 = 1e6;
 
-/// Bytes of an entry of a batch beside its id, key and body: separators and the length's digits, rounded up.
+/// Maximum size of a batch entry without its id, key and body: separators and the digits of the length, rounded up.
 const MAX_ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// Errors of a connection that is made which tell of this machine alone: no port, no route, no descriptor, no memory, no watch.
+/// Connect errors that are caused by this machine, not by the endpoint: for example no free port, route, descriptor,
+/// memory or epoll watch.
 const LOCAL_CONNECT_ERRORS: [Errno; 13] = [
     Errno::ADDRNOTAVAIL,
     Errno::ADDRINUSE,
@@ -37,7 +38,7 @@
     Errno::NETDOWN,
     Errno::NOBUFS,
     Errno::NOMEM,
-    // No more sockets can be waited for (epoll_ctl).
+    // epoll_ctl: the limit of watches is reached.
     Errno::NOSPC,
     Errno::NFILE,
     Errno::MFILE,
@@ -50,33 +51,33 @@
 /// A message in a call.
 pub(crate) struct CallMessage {
     pub(crate) message: MessageId,
-    /// The id that its client gave it.
+    /// Client-supplied id.
     pub(crate) id: Vec<u8>,
     pub(crate) idempotency_key: Option<String>,
     pub(crate) body: Vec<u8>,
 }
 
-/// How the attempt of one message ended.
+/// Result of the attempt of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptResult {
     pub(crate) message: MessageId,
     pub(crate) outcome: Outcome,
     pub(crate) run: RunState,
-    /// Nothing more is sent for the message.
+    /// Whether the message is closed: no further attempt of it is made.
     pub(crate) closed: bool,
 }
 
-/// How a call ended.
+/// Result of a call.
 pub(crate) struct CallResult {
     pub(crate) attempts: Vec<AttemptResult>,
-    /// A `Retry-After` that came beside the results of several messages.
+    /// `Retry-After` of a response with separate results for several messages.
     pub(crate) retry_after: Option<Duration>,
-    /// The load report that came with the response.
+    /// Load report of the response.
     pub(crate) load_report: Option<String>,
 }
 
 impl CallResult {
-    /// The same end for all messages of a call.
+    /// Creates a result that is the same for all messages of a call.
     pub(crate) fn uniform(
         messages: impl IntoIterator<Item = MessageId>,
         outcome: Outcome,
@@ -93,7 +94,7 @@
     }
 }
 
-/// The value of a name in a load report.
+/// Returns the value of a name in a load report.
 pub(crate) fn load_report_value(report: &str, name: &str) -> Option<f64> {
     let pairs = report.split(',').filter_map(|pair| pair.split_once('='));
     pairs
@@ -102,48 +103,49 @@
         .filter(|value: &f64| value.is_finite())
 }
 
-/// How far a call has come.
+/// Progress of a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum CallStage {
-    /// Queued or connecting: the spool holds nothing of it, no byte has left.
+    /// Queued or connecting: not recorded in the spool, no byte sent.
     #[default]
     Connecting,
-    /// Recorded in the spool, its first byte may have left.
+    /// Recorded in the spool; its first bytes may have been sent.
     Recorded,
-    /// Its last byte was written: only now may it run.
+    /// Written to its last byte: only from here on can the endpoint run it.
     Written,
 }
 
 /// A call to an endpoint.
 pub(crate) struct Call {
-    /// Its number, for log lines.
+    /// Number of the call, for log lines.
     pub(crate) number: u64,
     pub(crate) endpoint_id: EndpointId,
     pub(crate) endpoint: Endpoint,
     pub(crate) messages: Vec<CallMessage>,
-    /// From the decision on; then it ends as timed out.
+    /// Time limit of the call, from the decision on.
     pub(crate) time_limit: Duration,
     pub(crate) connect_timeout: Duration,
     pub(crate) decided_at: Instant,
-    /// Asks if the endpoint may still be called.
+    /// Requests whether the endpoint may still be called; the receiver gets the reply.
     pub(crate) request_send_permission: Box<dyn Fn() -> Receiver<bool>>,
-    /// Records the attempts in the spool, right before the first byte; how they end if they must not go out.
+    /// Records the attempts in the spool, right before the first byte. Returns their outcome as the error if they must
+    /// not be sent.
     pub(crate) record_attempts: Box<dyn Fn() -> Result<(), Outcome>>,
     pub(crate) stage: Rc<Cell<CallStage>>,
 }
 
 impl Call {
-    /// Makes the call, once, and reports how its messages ended when it is over. None is reported while the call goes
-    /// on for others: the next message of its key must wait for that.
+    /// Makes the call, once, and reports the results of all its messages when it is over. No result is reported
+    /// earlier, as the next message of a key must wait until the call has ended.
     pub(crate) async fn run(self, pool: &ConnectionPool, report: impl Fn(CallResult)) {
-        // From the decision on: a task that waits for the core has no more time for that.
+        // Counted from the decision on, so that a task that waits for the CPU gets no extra time.
         let deadline = self.decided_at + self.time_limit;
-        let late = async {
+        let timed_out = async {
             Timer::at(deadline).await;
-            // Nothing left the relay whole, so it can't have run.
+            // The request was not sent completely, so it can't have run.
             Err(Outcome::ConnectFailed)
         };
-        let result = match self.send(pool, deadline).or(late).await {
+        let result = match self.send(pool, deadline).or(timed_out).await {
             Ok(connection) => self.receive(connection, deadline, pool).await,
             Err(outcome) => self.uniform_result(outcome, CallEnd::NotWritten, false),
         };
@@ -151,7 +153,7 @@
         report(result);
     }
 
-    /// Logs how each attempt ended, and in which stage.
+    /// Logs the outcome of each attempt and the stage in which the call ended.
     fn log_end(&self, result: &CallResult) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
@@ -180,8 +182,8 @@
         CallResult::uniform(self.messages.iter().map(|message| message.message), outcome, end, closed)
     }
 
-    /// No whole answer came. Whatever the outcome, the endpoint may still be at work: the relay gave the call up, or its
-    /// connection ended.
+    /// Returns the result of a call without a complete response: the relay gave it up or its connection was closed, so
+    /// whatever the outcome, the endpoint may still be running it.
     fn interrupted_result(&self, outcome: Outcome) -> CallResult {
         self.uniform_result(outcome, CallEnd::Interrupted, false)
     }
@@ -190,43 +192,47 @@
         self.uniform_result(outcome, CallEnd::Answered, closed)
     }
 
-    /// An idle connection that can be used, or a new one.
+    /// Returns an idle connection from the pool, or opens a new one.
     async fn connect(&self, pool: &ConnectionPool) -> Result<HttpConnection, Outcome> {
         if let Some(connection) = pool.take(self.endpoint_id, self.endpoint.address) {
             return Ok(connection);
         }
-        let late = async {
+        let timed_out = async {
             Timer::after(self.connect_timeout).await;
             Err(std::io::ErrorKind::TimedOut.into())
         };
         let server_name = format!("endpoint {}", self.endpoint.name);
-        let opened = HttpConnection::open(self.endpoint.address, server_name).or(late).await;
+        let opened = HttpConnection::open(self.endpoint.address, server_name).or(timed_out).await;
         opened.map_err(|e| {
             info!("connection to endpoint {} not made: {}", self.endpoint.name, e.kind());
             if is_local_error(&e) { Outcome::LocalFailure } else { Outcome::ConnectFailed }
         })
     }
 
-    /// Writes the call, on an idle connection or a new one. Up to the first byte the connection stays of use for other
-    /// calls, whatever becomes of this one.
+    /// Writes the request on an idle connection or a new one. If the call ends before its first byte, the connection
+    /// goes back to the pool for other calls.
     async fn send(&self, pool: &ConnectionPool, deadline: Instant) -> Result<HttpConnection, Outcome> {
         let mut connection = self.connect(pool).await?;
         if !self.is_still_allowed().await {
-            info!("call to endpoint {} not made: no longer allowed", self.endpoint.name);
+            info!(
+                "call to endpoint {} not made: no longer allowed (unavailable, moved, Retry-After or relay stopping)",
+                self.endpoint.name
+            );
             pool.put_back(self.endpoint_id, connection);
             return Err(Outcome::NotSent);
         }
-        // The answer to that may have taken long, and the time of a kept connection may have run out since.
+        // The permission may have taken long, and the idle time of a reused connection may have run out meanwhile.
         if connection.requests > 0 && !pool.is_usable(&mut connection) {
             connection = self.connect(pool).await?;
         }
-        // Where the connection and the end of its time are here at once, no byte may go out behind the limit.
+        // If the connection is established and the deadline expires at the same time, no byte may be sent after the
+        // deadline.
         if Instant::now() >= deadline {
             pool.put_back(self.endpoint_id, connection);
             return Err(Outcome::ConnectFailed);
         }
         let request = self.request();
-        // Recorded only now: where the process ends while a connection comes up, the message surely has not run.
+        // Recorded only now, so that a process that exits while connecting leaves no attempt that may have run.
         let recording_since = Instant::now();
         if let Err(outcome) = (self.record_attempts)() {
             pool.put_back(self.endpoint_id, connection);
@@ -243,8 +249,9 @@
         Ok(connection)
     }
 
-    /// A call decided long ago could cross a `Retry-After` or a drain told since, as its connection came up slowly or
-    /// its task waited for the core. On a kept connection too.
+    /// Returns whether the call may still be sent. If it is delayed, as its connection was slow to establish or its
+    /// task waited for the CPU, a `Retry-After` or a drain may have been received since the decision. This applies to
+    /// reused connections too.
     async fn is_still_allowed(&self) -> bool {
         if self.decided_at.elapsed() <= DELAYED_SEND_THRESHOLD {
             return true;
@@ -252,14 +259,17 @@
         (self.request_send_permission)().recv().await.unwrap_or(false)
     }
 
-    /// A write to the state folder that took long may cross the same, and the limit.
+    /// Checks permission and deadline again after a slow write to the state folder.
     async fn check_after_record(&self, recording_since: Instant, deadline: Instant) -> Result<(), Outcome> {
         if recording_since.elapsed() <= DELAYED_SEND_THRESHOLD {
             return Ok(());
         }
         let is_allowed = (self.request_send_permission)().recv().await.unwrap_or(false);
         if !is_allowed {
-            info!("call to endpoint {} not made: no longer allowed", self.endpoint.name);
+            info!(
+                "call to endpoint {} not made: no longer allowed after a slow write to the state folder",
+                self.endpoint.name
+            );
             return Err(Outcome::NotSent);
         }
         if Instant::now() >= deadline { Err(Outcome::ConnectFailed) } else { Ok(()) }
@@ -280,7 +290,7 @@
         encode_request("POST", "/receive-many", &host, &[timeout_header], &body)
     }
 
-    /// Reads the response: how each message ended.
+    /// Reads the response and returns the result of the call.
     async fn receive(
         &self,
         mut connection: HttpConnection,
@@ -291,7 +301,7 @@
             Ok(response) => response,
             Err(ResponseError::TimedOut) => return self.interrupted_result(Outcome::TimedOut),
             Err(ResponseError::ConnectionClosed) => return self.interrupted_result(Outcome::Reset),
-            // Also where an unreadable response says that the message was rejected: it may have run all the same.
+            // Also if the readable part has a status that rejects the message: it may have run nevertheless.
             Err(ResponseError::Unreadable) => return self.interrupted_result(Outcome::Error),
         };
         let is_first = connection.requests == 1;
@@ -299,7 +309,10 @@
             pool.put_back(self.endpoint_id, connection);
         }
         if is_connection_limit(&response, is_first, reusable) {
-            debug!("endpoint {} had no room for another connection", self.endpoint.name);
+            debug!(
+                "endpoint {} rejected a new connection: its connection limit is reached",
+                self.endpoint.name
+            );
             return self.answered_result(Outcome::ConnectionLimit, false);
         }
         let mut result = self.interpret(&response);
@@ -307,41 +320,47 @@
         result
     }
 
-    /// How each message ended, as the response tells.
+    /// Returns the result that the response has for each message.
     fn interpret(&self, response: &Response) -> CallResult {
         let seconds = response.retry_after.unwrap_or(0.0).min(MAX_RETRY_AFTER_SECONDS);
         let retry_after = Duration::from_secs_f64(seconds);
         if !retry_after.is_zero() {
             let (name, status) = (&self.endpoint.name, response.status);
-            debug!("endpoint {name} answered {status} with a wait of {retry_after:?}");
+            debug!("endpoint {name} responded with status {status} and Retry-After {retry_after:?}");
         }
         match response.status {
-            // The first line is all that counts. The endpoint may go on with the rest of it all the same.
-            200 if self.messages.len() == 1 && !response.complete => {
+            // The status line alone confirms the delivery. But the endpoint may still be running the call.
+            200 if self.messages.len() == 1 && !response.is_complete => {
                 self.uniform_result(Outcome::Delivered, CallEnd::Interrupted, true)
             }
             200 if self.messages.len() == 1 => self.answered_result(Outcome::Delivered, true),
-            200 if !response.complete => self.interrupted_result(Outcome::Error),
+            200 if !response.is_complete => self.interrupted_result(Outcome::Error),
             200 => self.interpret_batch(&response.body, retry_after),
             429 => self.answered_result(Outcome::Rejected { retry_after }, false),
             503 if response.slots_taken => self.answered_result(Outcome::NotSent, false),
             503 => self.answered_result(Outcome::Rejected { retry_after }, false),
             504 => self.answered_result(Outcome::NotSent, false),
             410 => self.answered_result(Outcome::NotSent, true),
-            // By the protocol nothing of a call of several messages has run that can't be read or is too large.
+            // By the protocol, no message of a batch has run if the batch could not be read or was too large.
             400 | 413 if self.messages.len() > 1 => {
-                error!("endpoint {} answered {} to a batch", self.endpoint.name, response.status);
+                error!(
+                    "endpoint {} responded to a batch call with status {}: no message of it has run",
+                    self.endpoint.name, response.status
+                );
                 self.answered_result(Outcome::Rejected { retry_after: Duration::ZERO }, false)
             }
             400 | 404 | 413 => {
-                error!("endpoint {} answered {}", self.endpoint.name, response.status);
+                error!(
+                    "endpoint {} responded to a call with status {}: the attempt failed",
+                    self.endpoint.name, response.status
+                );
                 self.answered_result(Outcome::Error, false)
             }
             _ => self.answered_result(Outcome::Error, false),
         }
     }
 
-    /// How each message of a batch ended: the body has a line with an id and a word for each.
+    /// Returns the result of each message of a batch. The response body has one line with an id and a word for each.
     fn interpret_batch(&self, body: &[u8], retry_after: Duration) -> CallResult {
         let mut words_by_id = BTreeMap::new();
         for line in body.split(|byte| *byte == b'\n') {
@@ -358,37 +377,37 @@
         };
         CallResult {
             attempts: self.messages.iter().map(result).collect(),
-            // It binds whether or not a message was rejected.
+            // It applies whether or not a message was rejected.
             retry_after: (!retry_after.is_zero()).then_some(retry_after),
             load_report: None,
         }
     }
 }
 
-/// True if a connection was not made for a shortage of this machine: that tells nothing of the endpoint.
+/// Returns whether a connect error is caused by this machine and so says nothing about the endpoint.
 pub(super) fn is_local_error(error: &std::io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     errno.is_some_and(|errno| LOCAL_CONNECT_ERRORS.contains(&errno))
 }
 
-/// How a message of a batch ended, and whether it is closed, by the word that the response has for it.
+/// Returns the outcome of a message of a batch, and whether it closes the message, by its word in the response.
 fn batch_outcome(word: Option<&[u8]>, retry_after: Duration) -> (Outcome, bool) {
     match word {
         Some(b"delivered") => (Outcome::Delivered, true),
         Some(b"refused") => (Outcome::Rejected { retry_after }, false),
         Some(b"over") => (Outcome::NotSent, true),
         Some(b"spent") => (Outcome::NotSent, false),
-        // Told as failed, or not told: it may have run.
+        // Reported as failed, or not reported: the message may have run.
         _ => (Outcome::Error, false),
     }
 }
 
-/// Bytes that a message takes at most in the body of a call with several ones; its idempotency key stands in the metadata.
+/// Returns the maximum size of a message in the body of a batch call. The metadata includes the idempotency key.
 pub(crate) fn max_batch_entry_bytes(id: &[u8], metadata: &str, body: &[u8]) -> usize {
     id.len() + metadata.len() + body.len() + MAX_ENTRY_OVERHEAD_BYTES
 }
 
-/// The body of a call with several messages: for each a line with its id, key and length, then its bytes.
+/// Encodes the body of a batch call: for each message a line with its id, idempotency key and length, then its body.
 fn encode_batch(messages: &[CallMessage]) -> Vec<u8> {
     let mut body = Vec::new();
     for message in messages {
@@ -401,8 +420,9 @@
     body
 }
 
-/// True for a new connection that is rejected with no `Retry-After` and closed: the endpoint's table of connections is
-/// full, which has no other sign on sockets. Not a rate limit: connections that are kept already still work.
+/// Returns whether the response means that the endpoint's connection limit is reached: a 503 without `Retry-After` on a
+/// new connection, which is then closed. There is no other sign of it. It is no rate limit: established connections
+/// still work.
 fn is_connection_limit(response: &Response, is_first_request: bool, reusable: bool) -> bool {
     response.status == 503
         && is_first_request
--- a/crates/relay/src/upstream/connection_pool.rs
+++ b/crates/relay/src/upstream/connection_pool.rs
@@ -1,7 +1,7 @@
-//! The idle connections kept to endpoints, for the calls to come.
+//! Pool of idle connections to endpoints.
 //!
-//! Owns every connection that carries no call now. Never hands out one that its endpoint has closed or is about to
-//! close: a request written to it would end as one that may have run.
+//! Owns every connection that carries no call. Never returns a connection that its endpoint has closed or is about to
+//! close: a request written to it would have to count as one that may have run.
 
 use super::http1::{CloseReason, HttpConnection};
 use mountshift::interface::EndpointId;
@@ -10,29 +10,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An idle connection is not used for this part of its idle time at the end: the request has a way to go, and the
-/// endpoint's clock began earlier.
+/// A connection is not used during the last tenth of the endpoint's idle timeout: a request takes time to arrive, and
+/// the endpoint starts its timeout earlier than the relay.
 const IDLE_MARGIN_DIVISOR: u32 = 10;
-/// That part is no shorter than this, but half of the idle time at most.
+/// Minimum length of that last part of the idle timeout, unless half of the timeout is shorter.
 const MIN_IDLE_MARGIN: Duration = Duration::from_millis(250);
 
-/// Connections that carry no call now; of each endpoint those used last at the end.
+/// Pool of connections that carry no call.
 pub(crate) struct ConnectionPool {
+    /// Idle connections by endpoint, the last used one at the back.
     idle: RefCell<BTreeMap<EndpointId, VecDeque<HttpConnection>>>,
-    /// How long after its last use a connection may be used again.
+    /// Time after its last use within which a connection may be used again.
     max_idle_time: Duration,
     max_connections: usize,
 }
 
 impl ConnectionPool {
-    /// A pool for endpoints that close connections after `idle_timeout`.
+    /// Creates a pool for endpoints that close idle connections after `idle_timeout`.
     pub(crate) fn new(idle_timeout: Duration, max_connections: usize) -> ConnectionPool {
-        let unused = (idle_timeout / IDLE_MARGIN_DIVISOR).max(MIN_IDLE_MARGIN).min(idle_timeout / 2);
-        ConnectionPool { idle: RefCell::default(), max_idle_time: idle_timeout - unused, max_connections }
+        let margin = (idle_timeout / IDLE_MARGIN_DIVISOR).max(MIN_IDLE_MARGIN).min(idle_timeout / 2);
+        ConnectionPool { idle: RefCell::default(), max_idle_time: idle_timeout - margin, max_connections }
     }
 
-    /// The connection to an endpoint that was used last. One that leads to an address that the endpoint has left since
-    /// is closed: another server may be there now.
+    /// Takes the last used connection to an endpoint. Connections to a previous address of the endpoint are closed, as
+    /// the address may belong to another server now.
     pub(super) fn take(&self, endpoint: EndpointId, address: SocketAddr) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&endpoint)?;
@@ -40,7 +41,8 @@
         connections.pop_back()
     }
 
-    /// Puts a connection back. The process must not run out of descriptors: of too many the one idle longest is closed.
+    /// Puts a connection back. If the pool is full, closes the connection that has been idle longest, so that the
+    /// process doesn't run out of descriptors.
     pub(super) fn put_back(&self, endpoint: EndpointId, connection: HttpConnection) {
         let mut idle = self.idle.borrow_mut();
         if idle.values().map(VecDeque::len).sum::<usize>() >= self.max_connections {
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Closes what an endpoint has closed, and what it is about to close.
+    /// Closes the connections that an endpoint has closed or is about to close.
     pub(crate) fn close_expired(&self) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
@@ -66,8 +68,8 @@
         idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// True if an idle connection can still be used. One that was taken for a call that was not made was not used: its
-    /// time runs on.
+    /// Returns whether an idle connection can still be used. A connection that was taken for a call that was not made
+    /// keeps its idle time.
     pub(super) fn is_usable(&self, connection: &mut HttpConnection) -> bool {
         if connection.last_used.elapsed() >= self.max_idle_time {
             connection.close_reason = CloseReason::Idle;
--- a/crates/relay/src/upstream/endpoint_table.rs
+++ b/crates/relay/src/upstream/endpoint_table.rs
@@ -1,6 +1,6 @@
-//! The endpoints that the relay knows, by id, as the endpoint list describes them.
+//! Table of the known endpoints by id, as the endpoint list describes them.
 //!
-//! Owns the ids: they are given out in the order in which names come up, and none of them twice. Decides on nothing.
+//! Assigns the ids, in the order in which new names appear; no id is assigned twice. Makes no decisions.
 
 use crate::discovery::EndpointEntry;
 use mountshift::interface::{DestinationId, DestinationKindId, EndpointId, EndpointStatus, ZoneId};
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// An endpoint as the list described it last.
+/// An endpoint as last listed.
 #[derive(Clone)]
 pub(crate) struct Endpoint {
     pub(crate) address: SocketAddr,
@@ -19,27 +19,29 @@
     pub(crate) kind: DestinationKindId,
     pub(crate) destination: DestinationId,
     pub(crate) status: EndpointStatus,
-    /// Calls a second, where the list tells a rate.
+    /// Listed rate in calls per second, if the list has one.
     pub(crate) rate: f64,
 }
 
-/// What an entry of the list changed.
+/// Result of applying a list entry.
 pub(crate) struct TableUpdate {
     pub(crate) endpoint: EndpointId,
     pub(crate) status: EndpointStatus,
-    /// The endpoint has another address now, or none.
+    /// Whether the endpoint has a new address, or has been removed from the list.
     pub(crate) has_left_address: bool,
 }
 
-/// The known endpoints.
+/// Table of the known endpoints.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
+    /// Last id that was assigned.
     last_id: u64,
     ids: BTreeMap<Rc<str>, EndpointId>,
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    /// Forgotten while in maintenance, as last listed: an endpoint that comes back must be known.
+    /// Endpoints that were removed from the table while in maintenance, as last listed: needed when an operator puts
+    /// the endpoint back.
     in_maintenance: BTreeMap<Rc<str>, Endpoint>,
-    /// How many endpoints each destination has, those in maintenance included.
+    /// Number of endpoints of each destination, including those in maintenance.
     destinations: BTreeMap<DestinationId, usize>,
     zones: Vec<String>,
     destination_kinds: Vec<String>,
@@ -54,8 +56,8 @@
         }
     }
 
-    /// The endpoint that had the entry's name until now, where the entry is about another one: of another destination, zone
-    /// or kind. It keeps its id, and the entry gets a new one.
+    /// Releases the entry's name if the known endpoint of this name has another destination, zone or kind, and returns
+    /// the id of that endpoint. It keeps its id; the entry describes a different endpoint and gets a new one.
     pub(crate) fn retire_replaced_endpoint(&mut self, entry: &EndpointEntry) -> Option<EndpointId> {
         let id = *self.ids.get(entry.id.as_str())?;
         let known = self.endpoints.get(&id)?;
@@ -69,7 +71,7 @@
         Some(id)
     }
 
-    /// Takes an entry of the list in.
+    /// Applies an entry of the list.
     pub(crate) fn update(&mut self, entry: &EndpointEntry) -> TableUpdate {
         let name: Rc<str> = Rc::from(entry.id.as_str());
         let id = match self.ids.get(&name) {
@@ -107,7 +109,8 @@
         id
     }
 
-    /// True if the list has held an endpoint of the destination lately, or holds one that is in maintenance.
+    /// Returns whether the destination has an endpoint, including those in maintenance and those that left the list but
+    /// are still in the table.
     pub(crate) fn has_destination(&self, destination: DestinationId) -> bool {
         self.destinations.contains_key(&destination)
     }
@@ -125,8 +128,8 @@
         }
     }
 
-    /// Forgets an endpoint, so that the table doesn't grow with every endpoint that ever was. One that is in
-    /// maintenance is kept aside as it was last listed, until it comes back or is listed again.
+    /// Removes an endpoint, so that the table doesn't grow with every endpoint ever listed. An endpoint in maintenance
+    /// is kept apart as last listed, until it is put back or listed again.
     pub(crate) fn forget(&mut self, id: EndpointId, in_maintenance: bool) -> Option<Endpoint> {
         let endpoint = self.endpoints.remove(&id)?;
         self.uncount_destination(endpoint.destination);
@@ -145,7 +148,7 @@
         Some(endpoint)
     }
 
-    /// An endpoint that comes back from maintenance after it was forgotten: known again, under a new id, as last listed.
+    /// Restores an endpoint that was removed while in maintenance, as last listed and under a new id.
     pub(crate) fn restore_from_maintenance(&mut self, name: &str) -> Option<EndpointId> {
         let endpoint = self.in_maintenance.remove(name)?;
         let id = self.assign_id(&endpoint.name);
@@ -161,8 +164,8 @@
         self.endpoints.get(&id)
     }
 
-    /// A zone by its name. A name that the settings don't hold is a zone of its own: two such zones taken for one would
-    /// let a repeat that one of them knows go to the other (rule 2).
+    /// Returns the id of a zone. Each name that is not in the settings gets an id of its own: if two such zones shared
+    /// one, a repeat that only one of them deduplicates could be sent to the other (rule 2).
     pub(crate) fn zone_id(&mut self, name: &str) -> ZoneId {
         let index = if let Some(index) = self.zones.iter().position(|zone| zone == name) {
             index
--- a/crates/relay/src/upstream/endpoint_table_tests.rs
+++ b/crates/relay/src/upstream/endpoint_table_tests.rs
@@ -13,13 +13,13 @@
     }
 }
 
-/// The destinations that have an endpoint, of the first four.
+/// Returns which of the destinations 1 to 4 are known.
 fn known(table: &EndpointTable) -> Vec<u32> {
     (1..=4).filter(|number| table.has_destination(DestinationId(*number))).collect()
 }
 
 #[test]
-fn a_destination_is_known_as_long_as_it_has_an_endpoint_or_one_in_maintenance() {
+fn a_destination_is_known_while_it_has_an_endpoint_or_one_in_maintenance() {
     let mut table = EndpointTable::default();
     let first = table.update(&entry("e1", 1, Phase::Ready)).endpoint;
     let second = table.update(&entry("e2", 1, Phase::Ready)).endpoint;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_entry_of_another_destination_is_another_endpoint() {
+fn an_entry_with_another_destination_gets_a_new_endpoint_id() {
     let mut table = EndpointTable::default();
     let old = table.update(&entry("e1", 1, Phase::Ready)).endpoint;
     assert_eq!(table.retire_replaced_endpoint(&entry("e1", 1, Phase::Draining)), None);
--- a/crates/relay/src/upstream/http1.rs
+++ b/crates/relay/src/upstream/http1.rs
@@ -1,7 +1,7 @@
-//! One HTTP/1.1 connection, seen from its client: a request out, its response back, everything bounded.
+//! Client side of an HTTP/1.1 connection: writes a request, reads its response, with limits on size and time.
 //!
-//! Owns the socket and what was read and not yet parsed. Leaves one log line when the connection ends. Knows nothing of
-//! messages or endpoints; calls for the endpoint list and notifications use it too.
+//! Owns the socket and the bytes that were read but not parsed yet. Writes one log line when the connection ends.
+//! Independent of messages and endpoints: polls of the endpoint list and notifications use it too.
 
 use super::response::{BodyLength, Head, Response, has_ok_status_line, parse_head};
 use crate::transient::{self, is_transient};
@@ -14,59 +14,59 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Bytes of a response's head, of a chunk's size line and of the trailers at most.
+/// Maximum size of a response's head, of a chunk's size line and of the trailers.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Bytes that one read takes.
+/// Size of the buffer for one read.
 const READ_CHUNK_BYTES: usize = 8 * 1024;
-/// Once a response has begun, the rest of it comes within this span or not at all: one that begins and never ends would
-/// hold its slot to the time limit, and its messages beyond it.
+/// Time within which a response must be complete once it has begun. A response that never ends would otherwise occupy
+/// its slot up to the time limit, and delay its messages beyond that.
 const REST_OF_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes of an unreadable response that its log line shows.
+/// Maximum number of bytes of an unreadable response that are logged.
 const MAX_LOGGED_BYTES: usize = 60;
 
-/// Why there is no response. The texts are part of log lines that on-call staff look for.
+/// Reason for a missing response. The texts appear in log lines that on-call staff search for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum ResponseError {
     /// The connection was closed or reset.
     #[error("Ended")]
     ConnectionClosed,
-    /// Not HTTP, larger than allowed, or begun and not gone on with.
+    /// The response is not valid HTTP, is larger than allowed, or stalled after it had begun.
     #[error("Unreadable")]
     Unreadable,
-    /// Nothing came in time.
+    /// No byte of the response arrived in time.
     #[error("Silent")]
     TimedOut,
 }
 
-/// Why an exchange over a kept connection failed.
+/// Error of an exchange over a persistent connection.
 #[derive(Debug, Error)]
 pub(crate) enum ExchangeError {
-    #[error("no answer in time")]
+    #[error("no response in time")]
     TimedOut,
     #[error("{0}")]
     Io(#[source] io::Error),
     #[error("{0}")]
     Response(#[source] ResponseError),
-    #[error("the answer is spoilt")]
+    #[error("the response is incomplete")]
     IncompleteResponse,
 }
 
-/// Why a connection ended, as its log line tells.
+/// Reason for the end of a connection, for its log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Dropped while a call was under way, or with the process.
+    /// Dropped during a call, or as the process exits.
     Abandoned,
     BrokenInRequest,
     BrokenInResponse,
     UnreadableResponse,
     ClosedAfterResponse,
     UnrequestedBytes,
-    /// Idle for as long as it may be.
+    /// Idle for the maximum time.
     Idle,
     ClosedWhileIdle,
-    /// Too many connections were idle.
+    /// The pool had too many idle connections.
     PoolFull,
-    /// The endpoint moved or left.
+    /// The idle connections to the endpoint were closed, for example as it moved or was removed.
     EndpointClosed,
 }
 
@@ -90,17 +90,18 @@
 /// A connection to a server.
 pub(crate) struct HttpConnection {
     stream: Async<TcpStream>,
+    /// Bytes that were read but not parsed yet.
     buffer: Vec<u8>,
-    /// The status line of the response being read says 200.
+    /// Whether the response being read has a status line with status 200.
     has_ok_status_line: bool,
     pub(super) address: SocketAddr,
-    /// What its log line calls the server.
+    /// Name of the server in log lines.
     server_name: String,
-    /// Requests written so far.
+    /// Number of requests written.
     pub(super) requests: u32,
-    /// When it was established, or its last request or response went over it: the server counts idle time from then.
+    /// Time at which the connection was established or last carried bytes: the server counts idle time from then.
     pub(super) last_used: Instant,
-    /// What the log line tells when the connection ends.
+    /// Reason for the log line if the connection ends now.
     pub(super) close_reason: CloseReason,
 }
 
@@ -127,19 +128,19 @@
         })
     }
 
-    /// Leaves room for so few bytes on the way.
+    /// Limits the bytes in transit.
     #[cfg(test)]
     pub(super) fn set_send_buffer_size(&self, bytes: usize) {
         socket2::SockRef::from(self.stream.get_ref()).set_send_buffer_size(bytes).expect("a size");
     }
 
-    /// Closes it for this reason.
+    /// Closes the connection; the reason appears in its log line.
     pub(super) fn close(mut self, reason: CloseReason) {
         self.close_reason = reason;
         drop(self);
     }
 
-    /// True if the server has neither closed it nor sent anything that was not requested.
+    /// Returns whether the server has neither closed the connection nor sent unrequested bytes.
     pub(super) fn is_open_and_idle(&self) -> bool {
         let peeked = self.stream.get_ref().peek(&mut [0]);
         self.buffer.is_empty() && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
@@ -157,8 +158,8 @@
         written
     }
 
-    /// The response to the request just written, begun by `deadline`, with a body of `max_body` bytes at most; and if
-    /// the connection can carry another request.
+    /// Reads the response to the request just written, and returns it with whether the connection can be reused. The
+    /// response must begin by `deadline`, and its body may have at most `max_body` bytes.
     pub(super) async fn read_response(
         &mut self,
         max_body: usize,
@@ -174,7 +175,7 @@
                 let reusable = response.keep_alive && self.buffer.is_empty();
                 Ok((response, reusable))
             }
-            // A delivery must not be taken for a failure: the status line may be all that counts.
+            // A confirmed delivery must not count as a failure: the status line alone may confirm it.
             Err(ResponseError::ConnectionClosed | ResponseError::Unreadable) if self.has_ok_status_line => {
                 Ok((Response::status_line_only(), false))
             }
@@ -182,7 +183,7 @@
         }
     }
 
-    /// The first response that is not an interim one (1xx).
+    /// Reads the first response that is not an interim one (1xx).
     async fn read_final_response(
         &mut self,
         max_body: usize,
@@ -191,11 +192,11 @@
         loop {
             self.has_ok_status_line = false;
             if self.buffer.is_empty() {
-                let late = async {
+                let timed_out = async {
                     Timer::at(deadline).await;
                     Err(ResponseError::TimedOut)
                 };
-                if !self.read_more().or(late).await? {
+                if !self.read_more().or(timed_out).await? {
                     return Err(ResponseError::ConnectionClosed);
                 }
             }
@@ -221,7 +222,7 @@
         );
     }
 
-    /// Notes what the log line is to tell, if the connection ends now.
+    /// Records the reason for the log line, in case the connection ends after this response.
     fn record_close_reason(&mut self, result: &Result<Response, ResponseError>) {
         match result {
             Err(ResponseError::ConnectionClosed) => self.close_reason = CloseReason::BrokenInResponse,
@@ -258,7 +259,8 @@
         }
     }
 
-    /// Reads what has come; false at the end of the connection. Nothing is lost if it is dropped while it waits.
+    /// Reads the bytes that have arrived; returns false at the end of the stream. No bytes are lost if the future is
+    /// dropped while it waits.
     async fn read_more(&mut self) -> Result<bool, ResponseError> {
         loop {
             match self.read_available() {
@@ -272,12 +274,12 @@
         }
     }
 
-    /// Reads what has come, where the end of the connection is an error.
+    /// Reads the bytes that have arrived; the end of the stream is an error.
     async fn read_or_closed(&mut self) -> Result<(), ResponseError> {
         if self.read_more().await? { Ok(()) } else { Err(ResponseError::ConnectionClosed) }
     }
 
-    /// The place to read into lives only for the moment of the read, not as long as the connection.
+    /// Reads into a temporary buffer, which takes memory only during the read and not for the life of the connection.
     fn read_available(&mut self) -> io::Result<usize> {
         let mut chunk = [0; READ_CHUNK_BYTES];
         let read = self.stream.get_ref().read(&mut chunk)?;
@@ -320,7 +322,7 @@
         }
     }
 
-    /// Takes the line with the size of the next chunk.
+    /// Reads the line with the size of the next chunk.
     async fn read_chunk_size(&mut self) -> Result<u64, ResponseError> {
         loop {
             match httparse::parse_chunk_size(&self.buffer) {
@@ -335,8 +337,8 @@
         }
     }
 
-    /// Reads past the trailer fields after the last chunk, up to the empty line that ends the response: endpoints may
-    /// send trailers though none were asked for, and their responses are readable all the same.
+    /// Skips the trailer fields after the last chunk, up to the empty line that ends the response: endpoints may send
+    /// trailers without a request for them, and their responses are still valid.
     async fn skip_trailers(&mut self) -> Result<(), ResponseError> {
         let mut skipped = 0;
         loop {
@@ -361,10 +363,10 @@
     }
 }
 
-/// Sends a request over a connection that is kept between calls, opened anew where it can't be used, and reads the
-/// response, all within a span.
+/// Sends a request over a persistent connection and reads the response, within `timeout`. Opens a new connection if the
+/// existing one can't be used.
 pub(crate) async fn exchange(
-    kept: &mut Option<HttpConnection>,
+    kept_connection: &mut Option<HttpConnection>,
     address: SocketAddr,
     server_name: &str,
     request: &[u8],
@@ -372,31 +374,31 @@
     timeout: Duration,
 ) -> Result<Response, ExchangeError> {
     let deadline = Instant::now() + timeout;
-    let late = async {
+    let timed_out = async {
         Timer::at(deadline).await;
         Err(ExchangeError::TimedOut)
     };
     let response = async {
-        let connection = match kept {
+        let connection = match kept_connection {
             Some(connection) if connection.is_open_and_idle() => connection,
             _ => {
                 let opened = HttpConnection::open(address, server_name.into()).await;
-                kept.insert(opened.map_err(ExchangeError::Io)?)
+                kept_connection.insert(opened.map_err(ExchangeError::Io)?)
             }
         };
         connection.write(request).await.map_err(ExchangeError::Io)?;
         let (response, reusable) =
             connection.read_response(max_body, deadline).await.map_err(ExchangeError::Response)?;
         if !reusable {
-            *kept = None;
+            *kept_connection = None;
         }
-        if response.complete { Ok(response) } else { Err(ExchangeError::IncompleteResponse) }
+        if response.is_complete { Ok(response) } else { Err(ExchangeError::IncompleteResponse) }
     };
-    // Polled before the timer, as the response may be here when the process stood still until its time was up.
-    response.or(late).await
+    // The response is polled before the timer: after a suspension of the process past the deadline it may have arrived.
+    response.or(timed_out).await
 }
 
-/// A request as bytes.
+/// Encodes a request.
 pub(crate) fn encode_request(
     method: &str,
     path: &str,
--- a/crates/relay/src/upstream/mod.rs
+++ b/crates/relay/src/upstream/mod.rs
@@ -1,7 +1,8 @@
-//! The endpoints' side of the relay: what is known of endpoints, the connections kept to them, and the calls.
+//! Upstream side of the relay: the known endpoints, the connection pool, and the calls.
 //!
-//! `endpoint_table` holds the known endpoints, `connection_pool` the idle connections; `attempt` makes one call, and
-//! `http1` is the connection that it is made on. Nothing here decides where or when a message is sent.
+//! `endpoint_table` holds the known endpoints and `connection_pool` the idle connections; `attempt` makes one call over
+//! a connection of `http1`, and `response` parses the head of its response. Nothing here decides where or when a
+//! message is sent.
 
 mod attempt;
 mod connection_pool;
--- a/crates/relay/src/upstream/response.rs
+++ b/crates/relay/src/upstream/response.rs
@@ -1,23 +1,23 @@
-//! The head of an HTTP/1.1 response: what it says, and how the end of its body is told. Reads from bytes, no socket.
+//! Parser of the head of an HTTP/1.1 response: status, header fields and body framing. Works on bytes, without I/O.
 
 use super::http1::ResponseError;
 
-/// Header fields of a response at most: far more than endpoints and discovery send.
+/// Maximum number of header fields of a response: far more than endpoints and discovery send.
 const MAX_HEADERS: usize = 64;
 
-/// A response, as far as the relay reads it.
+/// A response, with the header fields that the relay uses.
 pub(crate) struct Response {
     pub(crate) status: u16,
     /// `Retry-After`, in seconds.
     pub(crate) retry_after: Option<f64>,
-    /// `Slots-Taken`: the request was not sent on, as the destination was busy.
+    /// `Slots-Taken: 1`: the endpoint did not forward the request, as the destination was busy.
     pub(crate) slots_taken: bool,
     /// `X-Server-Load`: names and values.
     pub(crate) load_report: Option<String>,
     pub(crate) body: Vec<u8>,
-    /// False if only the status line could be read; then that says 200.
-    pub(crate) complete: bool,
-    /// The connection carries on behind it.
+    /// Whether the whole response could be read. If false, only the status line could be read, and it has status 200.
+    pub(crate) is_complete: bool,
+    /// Whether the server keeps the connection open after the response.
     pub(super) keep_alive: bool,
 }
 
@@ -29,18 +29,18 @@
             slots_taken: false,
             load_report: None,
             body: Vec::new(),
-            complete: true,
+            is_complete: true,
             keep_alive: false,
         }
     }
 
-    /// What is known of a response whose status line said 200 and whose rest can't be read.
+    /// Creates a response with status 200 of which only the status line could be read.
     pub(super) fn status_line_only() -> Response {
-        Response { complete: false, ..Response::with_status(200) }
+        Response { is_complete: false, ..Response::with_status(200) }
     }
 }
 
-/// True if a status line has come as far as its status, and that is 200.
+/// Returns whether the bytes begin with a status line up to its status code, and that is 200.
 pub(super) fn has_ok_status_line(bytes: &[u8]) -> bool {
     let Some((minor_version, rest)) = bytes.strip_prefix(b"HTTP/1.").and_then(<[u8]>::split_first) else {
         return false;
@@ -51,7 +51,7 @@
     rest.strip_prefix(b" 200").and_then(<[u8]>::first).is_some_and(u8::is_ascii_whitespace)
 }
 
-/// How the end of a body is told.
+/// Framing of a response body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyLength {
     Bytes(usize),
@@ -61,13 +61,14 @@
 
 /// The head of a response.
 pub(super) struct Head {
-    /// The response, its body still empty.
+    /// The response, with an empty body.
     pub(super) response: Response,
     pub(super) body_length: BodyLength,
+    /// Length of the head on the wire.
     pub(super) wire_bytes: usize,
 }
 
-/// The head at the beginning of `bytes`; none while it is not whole.
+/// Parses the head at the beginning of `bytes`; returns none while it is incomplete.
 pub(super) fn parse_head(bytes: &[u8]) -> Result<Option<Head>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
@@ -93,7 +94,7 @@
     Ok(Some(Head { response, body_length, wire_bytes }))
 }
 
-/// Takes one header field into the response.
+/// Applies one header field to the response.
 fn read_header(
     response: &mut Response,
     declared_length: &mut Option<BodyLength>,
@@ -104,7 +105,8 @@
         "content-length" => {
             let length = BodyLength::Bytes(parse_content_length(value)?);
             let earlier = declared_length.replace(length);
-            // Two lengths that differ tell nothing: one response could be taken for another.
+            // With two different lengths the end of the response is ambiguous, and bytes of one response could be read
+            // as another.
             if earlier.is_some_and(|earlier| earlier != length) {
                 return Err(ResponseError::Unreadable);
             }
@@ -125,7 +127,7 @@
     Ok(())
 }
 
-/// A length in digits alone: the number parser would take a sign.
+/// Parses a length that consists of digits only: the number parser would also accept a sign.
 fn parse_content_length(value: &str) -> Result<usize, ResponseError> {
     if !value.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(ResponseError::Unreadable);
--- a/crates/relay/src/upstream/tests.rs
+++ b/crates/relay/src/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Calls and kept connections against sockets of the test.
+//! Tests of calls and pooled connections against local sockets.
 
 use super::*;
 use async_io::Timer;
@@ -10,55 +10,62 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-// The far side counts idle time from the last use: were it counted anew when a connection is put back unused, the next
-// request would be written to a connection that is being closed.
+// The server counts idle time from the last use. If the pool counted it from the return of an unused connection, the
+// next request could be written to a connection that the server is closing.
 #[test]
 fn a_connection_put_back_unused_keeps_its_idle_time() {
-    let far = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = far.local_addr().expect("an address");
-    let lasts = Duration::from_secs(10);
-    let pool = ConnectionPool::new(lasts, 8);
-    let open = || async_io::block_on(HttpConnection::open(at, "far".into())).expect("a connection");
-    let (mut old, to) = (open(), EndpointId(1));
-    old.last_used = Instant::now().checked_sub(lasts / 2).expect("a time");
-    pool.put_back(to, old);
-    let mut again = pool.take(to, at).expect("it still lasts");
-    again.last_used = again.last_used.checked_sub(lasts * 45 / 100).expect("a time");
-    pool.put_back(to, again);
-    assert!(pool.take(to, at).is_none(), "older than nine tenths of the time");
-    // A short time is kept to its half, whatever a tenth of it is.
+    let server = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = server.local_addr().expect("an address");
+    let idle_timeout = Duration::from_secs(10);
+    let pool = ConnectionPool::new(idle_timeout, 8);
+    let open = || async_io::block_on(HttpConnection::open(address, "server".into())).expect("a connection");
+    let (mut old, endpoint_id) = (open(), EndpointId(1));
+    old.last_used = Instant::now().checked_sub(idle_timeout / 2).expect("a time");
+    pool.put_back(endpoint_id, old);
+    let mut again = pool.take(endpoint_id, address).expect("it can still be used");
+    again.last_used = again.last_used.checked_sub(idle_timeout * 45 / 100).expect("a time");
+    pool.put_back(endpoint_id, again);
+    assert!(pool.take(endpoint_id, address).is_none(), "older than nine tenths of the idle timeout");
+    // The minimum margin never exceeds half of a short idle timeout.
     let short = ConnectionPool::new(Duration::from_millis(400), 8);
     let mut old = open();
     old.last_used = Instant::now().checked_sub(Duration::from_millis(210)).expect("a time");
-    short.put_back(to, old);
-    assert!(short.take(to, at).is_none());
+    short.put_back(endpoint_id, old);
+    assert!(short.take(endpoint_id, address).is_none());
 }
 
-/// A connection whose far side reads nothing for now, with so little room between them that a call's bytes don't
-/// fit; and the far side.
-fn narrow() -> (HttpConnection, std::net::TcpStream) {
+/// Returns a connection whose server does not read yet, with socket buffers too small for a call of `BODY` bytes; and
+/// the server's side of it.
+fn connect_with_small_buffers() -> (HttpConnection, std::net::TcpStream) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(2_048).expect("a size");
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     socket.bind(&any.into()).and_then(|()| socket.listen(1)).expect("a port");
     let listener = TcpListener::from(socket);
-    let at = listener.local_addr().expect("an address");
-    let connection = async_io::block_on(HttpConnection::open(at, "far".into())).expect("a connection");
+    let address = listener.local_addr().expect("an address");
+    let connection =
+        async_io::block_on(HttpConnection::open(address, "server".into())).expect("a connection");
     connection.set_send_buffer_size(4_096);
-    (connection, listener.accept().expect("the far side").0)
+    (connection, listener.accept().expect("the server's side").0)
 }
 
-fn call(to: SocketAddr, body: usize, limit: Duration, note: impl Fn() -> bool + 'static) -> Call {
+/// Creates a call with one message of `body_bytes` bytes; `may_send` is called in place of the record in the spool.
+fn call(
+    address: SocketAddr,
+    body_bytes: usize,
+    time_limit: Duration,
+    may_send: impl Fn() -> bool + 'static,
+) -> Call {
     let endpoint = Endpoint {
-        address: to,
-        name: "far".into(),
+        address,
+        name: "server".into(),
         zone: ZoneId(0),
         kind: DestinationKindId(0),
         destination: DestinationId(7),
         status: EndpointStatus::Ready,
         rate: 1.0,
     };
-    let body = vec![b'x'; body];
+    let body = vec![b'x'; body_bytes];
     Call {
         number: 1,
         endpoint_id: EndpointId(1),
@@ -69,101 +76,111 @@
             idempotency_key: None,
             body,
         }],
-        time_limit: limit,
-        connect_timeout: limit,
+        time_limit,
+        connect_timeout: time_limit,
         decided_at: Instant::now(),
         request_send_permission: Box::new(|| {
-            let (tell, told) = async_channel::bounded(1);
-            tell.try_send(true).expect("room");
-            told
+            let (reply_to, reply) = async_channel::bounded(1);
+            reply_to.try_send(true).expect("room");
+            reply
         }),
-        record_attempts: Box::new(move || if note() { Ok(()) } else { Err(Outcome::NotSent) }),
+        record_attempts: Box::new(move || if may_send() { Ok(()) } else { Err(Outcome::NotSent) }),
         stage: Rc::default(),
     }
 }
 
 const BODY: usize = 60_000;
 
-// A call that was cancelled, or reached its time limit, before its last byte left must not count as one that may have
-// run. The far side sees how much came.
+// A call that is cancelled or reaches its time limit before its last byte is written must not count as one that may
+// have run. The test checks how many bytes the server receives.
 #[test_case(Duration::from_secs(20) => None; "cancelled")]
 #[test_case(Duration::from_millis(300) => Some(Outcome::ConnectFailed); "at its time limit")]
-fn a_call_that_ends_while_writing_never_arrives_whole(limit: Duration) -> Option<Outcome> {
-    let (connection, mut far) = narrow();
-    let (pool, to) = (ConnectionPool::new(Duration::from_secs(60), 8), connection.address);
+fn a_call_that_ends_while_writing_never_arrives_completely(time_limit: Duration) -> Option<Outcome> {
+    let (connection, mut server) = connect_with_small_buffers();
+    let (pool, address) = (ConnectionPool::new(Duration::from_secs(60), 8), connection.address);
     pool.put_back(EndpointId(1), connection);
-    let (recorded, told) = (Rc::new(Cell::new(0)), RefCell::new(None));
-    let seen = recorded.clone();
-    let call = call(to, BODY, limit, move || {
-        seen.set(seen.get() + 1);
+    let (recorded, reported) = (Rc::new(Cell::new(0)), RefCell::new(None));
+    let counter = recorded.clone();
+    let call = call(address, BODY, time_limit, move || {
+        counter.set(counter.get() + 1);
         true
     });
     let stage = call.stage.clone();
     async_io::block_on(async {
-        let run = call.run(&pool, |ends| *told.borrow_mut() = Some(ends.attempts[0].outcome));
-        // A cancellation drops the call once it has begun to write: what had room has left by the first look.
+        let run = call.run(&pool, |result| *reported.borrow_mut() = Some(result.attempts[0].outcome));
+        // A cancellation drops the call once it has begun to write. By the first check, the bytes that fit into the
+        // socket buffers are written.
         let cancelled = async {
             while stage.get() == CallStage::Connecting {
                 futures_lite::future::yield_now().await;
             }
-            Timer::after(if limit > Duration::from_secs(1) { Duration::ZERO } else { limit * 10 }).await;
+            Timer::after(if time_limit > Duration::from_secs(1) { Duration::ZERO } else { time_limit * 10 })
+                .await;
         };
         run.or(cancelled).await;
     });
-    assert_eq!((stage.get(), recorded.get()), (CallStage::Recorded, 1), "recorded once, never written whole");
+    assert_eq!(
+        (stage.get(), recorded.get()),
+        (CallStage::Recorded, 1),
+        "recorded once, never written completely"
+    );
     let mut bytes = Vec::new();
-    let _ = std::io::Read::read_to_end(&mut far, &mut bytes);
-    assert!(bytes.starts_with(b"POST /receive HTTP/1.1\r\n") && bytes.len() < BODY, "{} came", bytes.len());
-    *told.borrow()
+    let _ = std::io::Read::read_to_end(&mut server, &mut bytes);
+    assert!(
+        bytes.starts_with(b"POST /receive HTTP/1.1\r\n") && bytes.len() < BODY,
+        "{} bytes received",
+        bytes.len()
+    );
+    *reported.borrow()
 }
 
-// What has ended, or is nobody's any more, when its connection is up does not go out: not a byte, and the connection
-// serves the next call.
+// A message that ended or was withdrawn while its call connected must not be sent: no byte is written, and the
+// connection goes back to the pool.
 #[test]
 fn a_call_whose_message_ended_while_it_connected_sends_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let to = listener.local_addr().expect("an address");
-    let (pool, told) = (ConnectionPool::new(Duration::from_secs(60), 8), RefCell::new(None));
-    let call = call(to, 1, Duration::from_secs(5), || false);
+    let address = listener.local_addr().expect("an address");
+    let (pool, reported) = (ConnectionPool::new(Duration::from_secs(60), 8), RefCell::new(None));
+    let call = call(address, 1, Duration::from_secs(5), || false);
     let stage = call.stage.clone();
-    async_io::block_on(call.run(&pool, |ends| *told.borrow_mut() = Some(ends.attempts[0].outcome)));
-    assert_eq!((*told.borrow(), stage.get()), (Some(Outcome::NotSent), CallStage::Connecting));
-    assert!(pool.take(EndpointId(1), to).is_some(), "kept");
+    async_io::block_on(call.run(&pool, |result| *reported.borrow_mut() = Some(result.attempts[0].outcome)));
+    assert_eq!((*reported.borrow(), stage.get()), (Some(Outcome::NotSent), CallStage::Connecting));
+    assert!(pool.take(EndpointId(1), address).is_some(), "back in the pool");
     pool.close_endpoint(EndpointId(1));
-    let (mut far, mut bytes) = (listener.accept().expect("the far side").0, Vec::new());
-    let _ = std::io::Read::read_to_end(&mut far, &mut bytes);
+    let (mut server, mut bytes) = (listener.accept().expect("the server's side").0, Vec::new());
+    let _ = std::io::Read::read_to_end(&mut server, &mut bytes);
     assert!(bytes.is_empty(), "{bytes:?}");
 }
 
-// A task that waited for the core until its call's time was up, with a connection at hand: nothing of it goes out.
+// If a task waits for the CPU until the deadline of its call and then finds an idle connection, no byte may be written.
 #[test]
 fn a_call_past_its_deadline_before_its_first_byte_sends_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let to = listener.local_addr().expect("an address");
-    let (pool, told) = (ConnectionPool::new(Duration::from_secs(60), 8), RefCell::new(None));
+    let address = listener.local_addr().expect("an address");
+    let (pool, reported) = (ConnectionPool::new(Duration::from_secs(60), 8), RefCell::new(None));
     pool.put_back(
         EndpointId(1),
-        async_io::block_on(HttpConnection::open(to, "far".into())).expect("a connection"),
+        async_io::block_on(HttpConnection::open(address, "server".into())).expect("a connection"),
     );
-    let mut call = call(to, 1, Duration::from_millis(300), || true);
+    let mut call = call(address, 1, Duration::from_millis(300), || true);
     call.decided_at = Instant::now().checked_sub(Duration::from_millis(400)).expect("a time");
-    async_io::block_on(call.run(&pool, |ends| *told.borrow_mut() = Some(ends.attempts[0].outcome)));
-    assert_eq!(*told.borrow(), Some(Outcome::ConnectFailed), "never ran");
+    async_io::block_on(call.run(&pool, |result| *reported.borrow_mut() = Some(result.attempts[0].outcome)));
+    assert_eq!(*reported.borrow(), Some(Outcome::ConnectFailed), "never ran");
     drop(pool);
-    let (mut far, mut bytes) = (listener.accept().expect("the far side").0, Vec::new());
-    let _ = std::io::Read::read_to_end(&mut far, &mut bytes);
-    assert!(bytes.is_empty(), "{} bytes came", bytes.len());
+    let (mut server, mut bytes) = (listener.accept().expect("the server's side").0, Vec::new());
+    let _ = std::io::Read::read_to_end(&mut server, &mut bytes);
+    assert!(bytes.is_empty(), "{} bytes received", bytes.len());
 }
 
-// What this machine lacks tells nothing of an endpoint; what the network or the endpoint says does.
+// A shortage on this machine must not count against the endpoint; an error from the network or the endpoint must.
 #[test_case(libc::EMFILE => true; "no descriptor")]
 #[test_case(libc::EADDRNOTAVAIL => true; "no port")]
-#[test_case(libc::EADDRINUSE => true; "the port is taken")]
-#[test_case(libc::ENOSPC => true; "no room to wait for another socket")]
+#[test_case(libc::EADDRINUSE => true; "the port is in use")]
+#[test_case(libc::ENOSPC => true; "no epoll watch left")]
 #[test_case(libc::ENOMEM => true; "no memory")]
 #[test_case(libc::ECONNREFUSED => false; "refused")]
 #[test_case(libc::ETIMEDOUT => false; "timed out")]
 #[test_case(libc::EHOSTUNREACH => false; "unreachable")]
-fn an_error_of_a_connection_may_tell_of_this_machine_alone(errno: i32) -> bool {
+fn connect_errors_of_this_machine_are_local_errors(errno: i32) -> bool {
     super::attempt::is_local_error(&std::io::Error::from_raw_os_error(errno))
 }
