--- a/crates/relay/src/dispatch/calls.rs
+++ b/crates/relay/src/dispatch/calls.rs
@@ -47,7 +47,7 @@
 }
 
 impl SendGuard {
-    /// Checks the attempt of a message; returns its outcome as the error if it must not start now.
+    /// Checks whether the attempt of a message may start now; the error is the outcome of an attempt that may not.
     fn check(&self, spool: &Spool, message: MessageId, now: Duration) -> Result<(), Outcome> {
         let Err(refusal) = self.policy.borrow().check_before_send(message, self.endpoint, now) else {
             return Ok(());
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Returns whether a state file, a spool record or a notification that depends on one is still unwritten.
+    /// Returns whether a state file or a spool record is still unwritten, or a notification waits for a spool record.
     pub(super) fn has_unwritten(&self) -> bool {
         self.files.has_unwritten()
             || self.spool.borrow().has_uncommitted()
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Returns a message with the data that a call sends of it.
+    /// Returns the data that a call sends for a message.
     fn call_message(&self, message: MessageId) -> Option<CallMessage> {
         let spool = self.spool.borrow();
         let accepted = &spool.get(message.0)?.accepted;
--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -85,8 +85,9 @@
         inputs.push(Input::Submitted { message, submission });
     }
 
-    /// Handles a submission under the id of a held message. It is accepted only if its content is the same: otherwise
-    /// its client would wait for a message that no relay holds, and the next message of its key would be sent first.
+    /// Handles a submission under the id of a held message. It counts as the same message only if its content is the
+    /// same: otherwise its client would wait for a message that is not held, and the next message of its key would be
+    /// sent before it.
     fn on_id_already_held(
         &mut self,
         message: MessageId,
@@ -96,7 +97,7 @@
         let is_same =
             self.spool.borrow().get(message.0).is_some_and(|stored| received.is_same_as(&stored.accepted));
         if is_same {
-            info!("message {} was submitted again while it is held; accepted as the same message", message.0);
+            info!("message {} was submitted again while it is held; treated as the same message", message.0);
             self.acceptances.add_further(message, reply_to);
             return;
         }
@@ -269,7 +270,7 @@
         if plan.is_handover {
             self.is_handing_over = true;
             self.files.raise_handover_marker();
-            info!("relay hands over to the process beside it, and sends nothing more");
+            info!("relay hands over to the process beside it, and makes no further attempts");
             inputs.push(Input::HandoverStarted);
         }
     }
--- a/crates/relay/src/dispatch/mod.rs
+++ b/crates/relay/src/dispatch/mod.rs
@@ -1,6 +1,5 @@
-//! The dispatcher: collects events into steps, runs the delivery policy of `mountshift` once per step, and executes
-//! the resulting actions after the spool has recorded them. It makes no delivery decisions itself. Everything runs on
-//! one thread.
+//! The dispatcher: collects events into steps, runs the delivery policy of `mountshift` once per step, commits the
+//! spool, and executes the resulting actions. It makes no delivery decisions itself. Everything runs on one thread.
 
 mod actions;
 mod calls;
--- a/crates/relay/src/dispatch/state.rs
+++ b/crates/relay/src/dispatch/state.rs
@@ -77,7 +77,7 @@
     until: Duration,
 }
 
-/// The request of a delayed call whether it may still be sent.
+/// The request of a delayed call for permission to be sent.
 pub(super) struct SendPermissionRequest {
     pub(super) endpoint: EndpointId,
     /// Address that the call is connected to.
@@ -109,7 +109,7 @@
     pub(super) drain_record: DrainRecord,
     pub(super) files: StateFiles,
     pub(super) successor_spool: SuccessorSpool,
-    /// Whether the process was requested to stop while a successor runs, which takes over.
+    /// Whether a stop was requested while a successor runs, to which this process hands over.
     pub(super) is_handing_over: bool,
     /// Whether messages are kept in order, by message class.
     ordered_classes: Vec<bool>,
@@ -135,7 +135,7 @@
     pub(super) spool_failure_logged: bool,
     /// Attempts that the current step sends.
     pub(super) pending_sends: Vec<PendingSends>,
-    /// Delayed calls that are answered in the current step.
+    /// Requests that are answered at the end of the current step.
     pub(super) send_permission_requests: Vec<SendPermissionRequest>,
 }
 
