--- a/crates/relay/src/acceptance.rs
+++ b/crates/relay/src/acceptance.rs
@@ -31,7 +31,7 @@
     }
 
     /// Another client has handed the same message in. It hears at once that a committed one is accepted.
-    pub(crate) fn add_further(&mut self, message: MessageId, reply_to: Sender<SubmissionReply>) {
+    pub(crate) fn add_repeat(&mut self, message: MessageId, reply_to: Sender<SubmissionReply>) {
         *self.further_clients.entry(message).or_default() += 1;
         if self.waiting.iter().any(|client| client.message == message) {
             self.add(message, reply_to);
@@ -41,14 +41,14 @@
     }
 
     /// Tells all that wait that their messages are accepted, as these are committed.
-    pub(crate) fn tell_accepted(&mut self) {
+    pub(crate) fn reply_accepted(&mut self) {
         for client in self.waiting.drain(..) {
             let _ = client.reply_to.try_send(SubmissionReply::Accepted(client.message));
         }
     }
 
     /// Tells all that wait that they may hand their messages in again, and gives back those messages, each once.
-    pub(crate) fn tell_rejected(&mut self) -> Vec<MessageId> {
+    pub(crate) fn reply_rejected(&mut self) -> Vec<MessageId> {
         let mut messages = Vec::new();
         for client in self.waiting.drain(..) {
             let _ = client.reply_to.try_send(SubmissionReply::Rejected { retry_after_ms: 0 });
@@ -63,7 +63,7 @@
     }
 
     /// Ends the message for those that wait for its commit; true if there was one.
-    pub(crate) fn tell_end(&mut self, message: MessageId, answer: SubmissionReply) -> bool {
+    pub(crate) fn reply_final(&mut self, message: MessageId, answer: SubmissionReply) -> bool {
         let waited = self.waiting.len();
         self.waiting.retain(|client| {
             let is_its = client.message == message;
@@ -76,7 +76,7 @@
     }
 
     /// A client did not hear that the message is accepted. True if no other one has handed it in.
-    pub(crate) fn was_last_client(&mut self, message: MessageId) -> bool {
+    pub(crate) fn release_client(&mut self, message: MessageId) -> bool {
         match self.further_clients.get_mut(&message) {
             Some(further) if *further > 0 => {
                 *further -= 1;
@@ -87,7 +87,7 @@
     }
 
     /// The message is held no longer.
-    pub(crate) fn forget(&mut self, message: MessageId) {
+    pub(crate) fn remove(&mut self, message: MessageId) {
         self.further_clients.remove(&message);
     }
 }
--- a/crates/relay/src/acceptance_tests.rs
+++ b/crates/relay/src/acceptance_tests.rs
@@ -12,14 +12,14 @@
     let mut acceptances = Acceptances::default();
     let (first, further, late) = (client(), client(), client());
     acceptances.add(MESSAGE, first.0);
-    acceptances.add_further(MESSAGE, further.0);
+    acceptances.add_repeat(MESSAGE, further.0);
     assert!(first.1.is_empty() && further.1.is_empty(), "not before");
-    acceptances.tell_accepted();
-    acceptances.add_further(MESSAGE, late.0);
+    acceptances.reply_accepted();
+    acceptances.add_repeat(MESSAGE, late.0);
     for heard in [first.1, further.1, late.1] {
         assert_eq!(heard.try_recv(), Ok(SubmissionReply::Accepted(MESSAGE)));
     }
-    assert_eq!([(); 3].map(|()| acceptances.was_last_client(MESSAGE)), [false, false, true]);
+    assert_eq!([(); 3].map(|()| acceptances.release_client(MESSAGE)), [false, false, true]);
 }
 
 #[test]
@@ -27,10 +27,10 @@
     let mut acceptances = Acceptances::default();
     let (first, further) = (client(), client());
     acceptances.add(MESSAGE, first.0);
-    acceptances.add_further(MESSAGE, further.0);
-    assert_eq!(acceptances.tell_rejected(), [MESSAGE]);
+    acceptances.add_repeat(MESSAGE, further.0);
+    assert_eq!(acceptances.reply_rejected(), [MESSAGE]);
     for heard in [first.1, further.1] {
         assert_eq!(heard.try_recv(), Ok(SubmissionReply::Rejected { retry_after_ms: 0 }));
     }
-    assert!(acceptances.was_last_client(MESSAGE));
+    assert!(acceptances.release_client(MESSAGE));
 }
--- a/crates/relay/src/dispatch/calls.rs
+++ b/crates/relay/src/dispatch/calls.rs
@@ -205,9 +205,9 @@
     /// Only a message that is committed may be called accepted.
     fn answer_clients(&mut self, is_committed: bool) {
         if is_committed {
-            return self.acceptances.tell_accepted();
+            return self.acceptances.reply_accepted();
         }
-        for message in self.acceptances.tell_rejected() {
+        for message in self.acceptances.reply_rejected() {
             // With the next commit it would come back otherwise.
             self.remove_message(message);
             let _ = self.events.try_send(Event::ClientUnreachable(message));
--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -40,7 +40,7 @@
 
     /// The client submits the message again: unless another one has handed it in too, this one is nobody's any more.
     fn on_client_unreachable(&mut self, message: MessageId, inputs: &mut Vec<Input>) {
-        if !self.acceptances.was_last_client(message) {
+        if !self.acceptances.release_client(message) {
             return;
         }
         let may_have_run = self
@@ -96,7 +96,7 @@
             self.spool.borrow().get(message.0).is_some_and(|stored| received.is_same_as(&stored.accepted));
         if is_same {
             info!("message {} came again while it is held", message.0);
-            self.acceptances.add_further(message, reply_to);
+            self.acceptances.add_repeat(message, reply_to);
             return;
         }
         info!("message {} is held, another one came under its id: rejected", message.0);
@@ -115,7 +115,7 @@
         let Some(submission) = self.submission(&received.metadata, received.key, deadline, call_bytes) else {
             return Err(SubmissionReply::Failed(SubmissionError::UnknownClass));
         };
-        let holds_earlier = self.successor_spool.may_hold_earlier();
+        let holds_earlier = self.successor_spool.may_hold_earlier_messages();
         let is_in_order = self.is_in_order(&submission);
         if !mountshift_handover::active_accepts(is_in_order, self.hands_over, holds_earlier) {
             debug!("message of key {:016x} is left to the successor", received.key);
@@ -260,7 +260,7 @@
         // A successor takes over what is held: nothing more is sent from here.
         if plan.is_handover {
             self.hands_over = true;
-            self.files.raise_handover_marker();
+            self.files.write_handover_marker();
             info!("hands over to the process beside it");
             inputs.push(Input::HandoverStarted);
         }
--- a/crates/relay/src/dispatch/mod.rs
+++ b/crates/relay/src/dispatch/mod.rs
@@ -199,7 +199,7 @@
         }
         let held = self.state.spool.borrow().messages().len();
         let calls = self.state.calls_in_flight.len();
-        self.state.metrics.set_dispatched(held, calls, self.state.has_unwritten());
+        self.state.metrics.set_dispatcher_state(held, calls, self.state.has_unwritten());
     }
 }
 
--- a/crates/relay/src/dispatch/restore.rs
+++ b/crates/relay/src/dispatch/restore.rs
@@ -3,7 +3,7 @@
 use super::calls::batch_entry_bytes;
 use super::state::DispatcherState;
 use crate::clients::{SubmissionMetadata, is_same_message};
-use crate::startup::spool::{fail_left_out, return_id_conflict};
+use crate::startup::spool::{notify_id_conflict, notify_no_space};
 use log::{debug, info};
 use mountshift::interface::*;
 use mountshift_handover::{RouteRecord, Snapshot};
@@ -86,13 +86,13 @@
             }
             return;
         }
-        self.successor_spool.note_taken_over();
+        self.successor_spool.record_takeover();
         info!("takes over {} messages of a successor that has ended", adopted.len());
         for stored in left_out {
-            fail_left_out(stored, &self.notifications);
+            notify_no_space(stored, &self.notifications);
         }
         for stored in &id_conflicts {
-            return_id_conflict(stored, &self.notifications);
+            notify_id_conflict(stored, &self.notifications);
         }
         for (message, stored) in adopted {
             self.restore_message(message, stored, inputs);
--- a/crates/relay/src/dispatch/shutdown.rs
+++ b/crates/relay/src/dispatch/shutdown.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use super::state::DispatcherState;
-use crate::final_rounds::FinalRounds;
+use crate::shutdown_rounds::ShutdownRounds;
 use crate::upstream::CallStage;
 use async_io::Timer;
 use log::{error, info};
@@ -66,15 +66,15 @@
     /// and submits it again.
     pub(super) async fn finish(mut self) {
         self.clients_end.close();
-        let mut rounds = FinalRounds::begin();
+        let mut rounds = ShutdownRounds::start();
         loop {
-            rounds.next().await;
+            rounds.wait_for_next().await;
             let mut inputs = Vec::new();
             while let Ok(event) = self.events.try_recv() {
                 self.state.handle(event, &mut inputs);
             }
             self.state.execute_without_deciding();
-            if rounds.are_over(self.client_connections.get() == 0 && inputs.is_empty()) {
+            if rounds.is_complete(self.client_connections.get() == 0 && inputs.is_empty()) {
                 break;
             }
         }
--- a/crates/relay/src/dispatch/state.rs
+++ b/crates/relay/src/dispatch/state.rs
@@ -205,7 +205,7 @@
             FinalOutcome::Failed => "failed",
             FinalOutcome::Rejected(_) => "rejected",
         });
-        if self.acceptances.tell_end(message, answer) {
+        if self.acceptances.reply_final(message, answer) {
             self.remove_message(message);
             return true;
         }
@@ -290,7 +290,7 @@
             let id = &stored.accepted.id;
             debug!("{}", Transition { message: Some(id), from: "held", to: "gone", ..Transition::default() });
             self.messages_by_id.remove(id);
-            self.acceptances.forget(message);
+            self.acceptances.remove(message);
             spool.remove(message.0);
         }
     }
@@ -303,7 +303,7 @@
         let mut spool = self.spool.borrow_mut();
         let Some(stored) = spool.get(message.0) else { return };
         self.messages_by_id.remove(&stored.accepted.id);
-        self.acceptances.forget(message);
+        self.acceptances.remove(message);
         // A process that finds it tells its end once more, which does no harm, and sends nothing of it.
         if stored.pending_outcome.is_none() {
             spool.record_outcome(message.0, FinalOutcome::Failed);
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -78,7 +78,12 @@
     }
 
     /// Notes how the dispatcher stands after a step.
-    pub(crate) fn set_dispatched(&self, held_messages: usize, calls_in_flight: usize, has_unwritten: bool) {
+    pub(crate) fn set_dispatcher_state(
+        &self,
+        held_messages: usize,
+        calls_in_flight: usize,
+        has_unwritten: bool,
+    ) {
         self.gauges.held_messages.set(held_messages as i64);
         self.gauges.calls_in_flight.set(calls_in_flight as i64);
         self.gauges.unwritten.set(i64::from(has_unwritten));
--- a/crates/relay/src/startup/opening.rs
+++ b/crates/relay/src/startup/opening.rs
@@ -5,7 +5,7 @@
 use crate::clients::SubmissionReply;
 use crate::dispatch::Event;
 use crate::error::StartError;
-use crate::final_rounds::FinalRounds;
+use crate::shutdown_rounds::ShutdownRounds;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::FutureExt;
@@ -103,15 +103,15 @@
 /// The end of a process that never had its spool: clients hear that nothing of theirs was accepted.
 async fn finish(tasks: &RelayTasks) {
     tasks.clients_end.0.close();
-    let mut rounds = FinalRounds::begin();
+    let mut rounds = ShutdownRounds::start();
     loop {
-        rounds.next().await;
+        rounds.wait_for_next().await;
         let mut is_quiet = tasks.client_connections.get() == 0;
         while let Ok(event) = tasks.events.1.try_recv() {
             reject_if_message(&event);
             is_quiet = false;
         }
-        if rounds.are_over(is_quiet) {
+        if rounds.is_complete(is_quiet) {
             break;
         }
     }
--- a/crates/relay/src/startup/spool.rs
+++ b/crates/relay/src/startup/spool.rs
@@ -160,7 +160,7 @@
 /// becoming active, what it accepted is the active process's.
 pub(crate) struct SuccessorSpool {
     /// A successor that was there at this process's start may have accepted messages in order before that.
-    may_hold_earlier: Cell<bool>,
+    may_hold_earlier_messages: Cell<bool>,
     dir: PathBuf,
     max_bytes: u64,
     max_attempts: u64,
@@ -179,14 +179,14 @@
 impl SuccessorSpool {
     pub(crate) fn new(config: &StartConfig, state_dir: &StateDir) -> SuccessorSpool {
         let opener = SpoolOpener::new(config, state_dir);
-        let may_hold_earlier = state_dir.role == Role::Active(PreviousSuccessor::Running);
-        if may_hold_earlier {
+        let may_hold_earlier_messages = state_dir.role == Role::Active(PreviousSuccessor::Running);
+        if may_hold_earlier_messages {
             warn!(
                 "a successor of the process before still runs: messages in order are rejected until it ends"
             );
         }
         SuccessorSpool {
-            may_hold_earlier: Cell::new(may_hold_earlier),
+            may_hold_earlier_messages: Cell::new(may_hold_earlier_messages),
             dir: state_dir.successor_path.clone(),
             max_bytes: config.disk_share(SUCCESSOR_DISK_SHARE),
             max_attempts: opener.max_attempts,
@@ -196,13 +196,13 @@
 
     /// True until what an earlier successor has accepted is this process's: messages in order might be among it that come
     /// before what clients submit now.
-    pub(crate) fn may_hold_earlier(&self) -> bool {
-        self.may_hold_earlier.get()
+    pub(crate) fn may_hold_earlier_messages(&self) -> bool {
+        self.may_hold_earlier_messages.get()
     }
 
     /// What it has left, if anything, is this process's now.
-    pub(crate) fn note_taken_over(&self) {
-        if self.may_hold_earlier.replace(false) {
+    pub(crate) fn record_takeover(&self) {
+        if self.may_hold_earlier_messages.replace(false) {
             info!("messages in order are accepted again: the successor has ended");
         }
     }
@@ -210,14 +210,14 @@
     /// What a successor has left; none while one runs, or where none has left anything.
     pub(crate) fn take_orphaned(&self) -> Option<OrphanedSpool> {
         let file = self.dir.join(mountshift_spool::FILE_NAME);
-        if !self.may_hold_earlier() && !file.exists() {
+        if !self.may_hold_earlier_messages() && !file.exists() {
             return None;
         }
         let lock = take_free_lock(&self.dir)?;
         match file.try_exists() {
             Ok(true) => {}
             Ok(false) => {
-                self.note_taken_over();
+                self.record_takeover();
                 return None;
             }
             Err(_) => return None,
@@ -306,7 +306,7 @@
         .await
         .map_err(StartError::MergeSpools)?;
     for message in left_out {
-        fail_left_out(message, &tasks.notifications.0);
+        notify_no_space(message, &tasks.notifications.0);
     }
     for message in &accepted_by_successor {
         return_if_id_is_taken(message, &accepted_by_active, &tasks.notifications.0);
@@ -339,19 +339,19 @@
     let accepted = &message.accepted;
     let taken = held.iter().find(|held| held.accepted.id == accepted.id);
     if taken.is_some_and(|held| !is_same_message(&held.accepted, accepted)) {
-        return_id_conflict(message, notifications);
+        notify_id_conflict(message, notifications);
     }
 }
 
 /// Tells the platform that a message can't be held beside another one of its id.
-pub(crate) fn return_id_conflict(message: &StoredMessage, notifications: &Sender<Notification>) {
+pub(crate) fn notify_id_conflict(message: &StoredMessage, notifications: &Sender<Notification>) {
     let id = message.accepted.id.clone();
     warn!("message {} is returned: another one is held under its id", String::from_utf8_lossy(&id));
     let outcome = FinalOutcome::Rejected(0);
     let _ = notifications.try_send(Notification { message: NOT_IN_SPOOL, id, outcome });
 }
 
-pub(crate) fn fail_left_out(message: StoredMessage, notifications: &Sender<Notification>) {
+pub(crate) fn notify_no_space(message: StoredMessage, notifications: &Sender<Notification>) {
     let id = message.accepted.id;
     warn!(
         "spool: no room for message {} of the process before; it ends as failed",
--- a/crates/relay/src/state_files.rs
+++ b/crates/relay/src/state_files.rs
@@ -135,7 +135,7 @@
     }
 
     /// Tells a successor that this process sends nothing new from now on.
-    pub(crate) fn raise_handover_marker(&self) {
+    pub(crate) fn write_handover_marker(&self) {
         self.marker.raise(&self.process);
     }
 
@@ -171,7 +171,7 @@
     /// Tries again to write what could not be written.
     pub(crate) fn retry_unwritten(&self) {
         if self.marker.is_pending() {
-            self.raise_handover_marker();
+            self.write_handover_marker();
         }
         let unwritten = std::mem::take(&mut *self.unwritten.borrow_mut());
         for (name, text) in unwritten {
--- a/crates/relay/src/successor.rs
+++ b/crates/relay/src/successor.rs
@@ -7,7 +7,7 @@
 use crate::clock::StoredTime;
 use crate::discovery::EndpointList;
 use crate::dispatch::Event;
-use crate::final_rounds::FinalRounds;
+use crate::shutdown_rounds::ShutdownRounds;
 use crate::startup::opening::DeferredEvents;
 use crate::state_files::StateFiles;
 use async_channel::{Receiver, Sender};
@@ -159,7 +159,7 @@
     ) {
         let held = self.options.spool.get(number);
         if held.is_some_and(|stored| message.is_same_as(&stored.accepted)) {
-            self.acceptances.add_further(successor_message(number), reply_to);
+            self.acceptances.add_repeat(successor_message(number), reply_to);
         } else {
             info!("successor's message {number} is held, another one came under its id: rejected");
             let _ = reply_to.try_send(SubmissionReply::Rejected { retry_after_ms: 0 });
@@ -196,7 +196,7 @@
     /// The client did not hear that its message was accepted, and submits it again: unless another one has handed it in too,
     /// this one is nobody's.
     fn on_client_unreachable(&mut self, message: MessageId) {
-        if self.acceptances.was_last_client(message) {
+        if self.acceptances.release_client(message) {
             self.remove(message);
         }
     }
@@ -241,10 +241,10 @@
         }
         self.failure_logged = committed.is_err();
         if committed.is_ok() {
-            self.acceptances.tell_accepted();
+            self.acceptances.reply_accepted();
             return;
         }
-        for message in self.acceptances.tell_rejected() {
+        for message in self.acceptances.reply_rejected() {
             self.remove(message);
         }
     }
@@ -258,16 +258,16 @@
     /// The end of a process that was not active: clients hear what became of the requests that were read.
     async fn finish(&mut self, events: &Receiver<Event>) {
         self.options.clients_end.close();
-        let mut rounds = FinalRounds::begin();
+        let mut rounds = ShutdownRounds::start();
         loop {
-            rounds.next().await;
+            rounds.wait_for_next().await;
             let mut is_quiet = self.options.client_connections.get() == 0;
             while let Ok(event) = events.try_recv() {
                 self.handle(event);
                 is_quiet = false;
             }
             self.commit();
-            if rounds.are_over(is_quiet) {
+            if rounds.is_complete(is_quiet) {
                 break;
             }
         }
