--- a/crates/relay/src/clients/close_reason.rs
+++ b/crates/relay/src/clients/close_reason.rs
@@ -1,37 +1,37 @@
-//! Why a client connection ends.
+//! Reasons for the end of a client connection.
 
 use std::fmt;
 
-/// Why a connection ended, as its log line tells.
+/// Reason for the end of a client connection, as written to the log and the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// The socket failed.
+    /// The socket reported an error.
     Broken,
-    /// The client ended its sending.
+    /// The client closed its sending direction.
     Closed,
-    /// The client was gone before its replies could be written.
+    /// The client closed the connection before its replies were written.
     ClosedBeforeReply,
-    /// No first request came.
+    /// No first request arrived in time.
     Silent,
-    /// A request did not arrive whole in time, or replies were not taken.
+    /// A request was not complete in time, or the client did not read its replies.
     Slow,
-    /// Nothing was asked for a long while, or another connection needed the place.
+    /// No request arrived within the idle timeout, or the idle connection was evicted for another one.
     Idle,
-    /// Another connection needed the place before its request was whole.
+    /// The connection was evicted for another one while its request was incomplete.
     Evicted,
-    /// The client said that it was done.
+    /// The client sent `QUIT`.
     Quit,
-    /// What came was no request.
+    /// The input was not a valid request.
     ProtocolError,
-    /// The process ends.
+    /// The process stops.
     Stopping,
-    /// Clients are to go to another relay.
+    /// The relay is in standby: clients have to use another relay.
     Standby,
 }
 
 impl CloseReason {
-    /// True where the client ended the connection, or took no replies.
-    pub(super) fn is_clients_doing(self) -> bool {
+    /// Returns whether the client caused the end, so that requests may have stayed without a reply.
+    pub(super) fn is_caused_by_client(self) -> bool {
         matches!(
             self,
             CloseReason::Broken
--- a/crates/relay/src/clients/closing.rs
+++ b/crates/relay/src/clients/closing.rs
@@ -1,9 +1,10 @@
-//! The end of a client's connection: what has been read is answered, and no close takes the last replies away.
+//! Closing of client connections: every request that was read gets a reply, and the client can read the last replies
+//! before the connection is reset.
 
 use super::ClientService;
 use super::close_reason::CloseReason;
-use super::connection::{ClientConnection, Input, Reply, Wakeup, busy};
-use super::lingering::{DISCARD_PAUSE, discard_briefly, discard_chunk, write_at_once};
+use super::connection::{ClientConnection, Input, Reply, Wakeup, busy_reply};
+use super::lingering::{DISCARD_PAUSE, discard_chunk, linger, try_write};
 use super::protocol;
 use crate::transient::{self, is_transient};
 use async_io::Timer;
@@ -12,19 +13,19 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// As the process ends, how long requests are still read, to be rejected: those on their way come within this time, and the
-/// process goes on a little longer.
-const LAST_REQUESTS_TIME: Duration = Duration::from_millis(30);
-/// How long input is read and dropped after the last reply.
+/// Duration for which requests are still read, and rejected, when the process exits. Requests in transit arrive within
+/// this time, and the process runs slightly longer.
+const FINAL_READ_DURATION: Duration = Duration::from_millis(30);
+/// Maximum duration for which input is read and discarded after the last reply.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How much of it is.
+/// Maximum number of bytes discarded after the last reply.
 const MAX_DISCARDED_BYTES: usize = 80_000_000;
 
 impl ClientConnection {
-    /// The process ends: what still comes is read for a moment and rejected, the last request also if it is not whole.
-    /// Nobody has taken it on, and its client would wait for an answer as it sends the rest.
-    pub(super) async fn reject_at_the_end(&mut self, service: &ClientService) -> CloseReason {
-        let due = Instant::now() + LAST_REQUESTS_TIME;
+    /// Rejects all requests that arrive within [`FINAL_READ_DURATION`] before the process exits, including a last
+    /// incomplete one: it was not submitted, and its client would wait for a reply after sending the rest.
+    pub(super) async fn reject_on_exit(&mut self, service: &ClientService) -> CloseReason {
+        let due = Instant::now() + FINAL_READ_DURATION;
         loop {
             let Ok(input) = self.read_available() else { return CloseReason::Broken };
             let rejections = self.reject_whole_requests();
@@ -34,46 +35,47 @@
             match input {
                 Input::Ended => return CloseReason::Stopping,
                 _ if Instant::now() >= due => break,
-                Input::Unreadable => transient::pause().await,
+                Input::TemporarilyUnreadable => transient::pause().await,
                 Input::Open => {
-                    let time_over = async {
+                    let timeout = async {
                         Timer::at(due).await;
-                        Wakeup::TimeOver
+                        Wakeup::TimedOutOrEvicted
                     };
-                    self.readable().or(time_over).await;
+                    self.readable().or(timeout).await;
                 }
             }
         }
         if self.buffer.is_empty() {
             return CloseReason::Stopping;
         }
-        self.close_after(vec![busy()], CloseReason::Stopping, service).await
+        self.send_and_close(vec![busy_reply()], CloseReason::Stopping, service).await
     }
 
-    /// Takes every whole request out of the buffer and rejects it.
+    /// Removes every complete request from the buffer and returns a rejection for each.
     fn reject_whole_requests(&mut self) -> Vec<Reply> {
         let mut replies = Vec::new();
         while let Ok(Some(request)) = protocol::parse_request(&self.buffer) {
             self.buffer.drain(..request.wire_bytes);
             self.requests += 1;
-            replies.push(busy());
+            replies.push(busy_reply());
         }
         replies
     }
 
-    /// Rejects every request that was read whole before its client ended its sending: without an answer the client would
-    /// take it for lost. Nothing is accepted: a client that has gone altogether looks the same.
+    /// Rejects every complete request that was read before the client closed its sending direction; without a reply,
+    /// the client would count it as lost. No request is accepted, because a client that closed the connection entirely
+    /// looks the same.
     pub(super) fn reject_after_end_of_input(&mut self) -> CloseReason {
         let rejected = self.reject_whole_requests().len();
         self.answered_requests += rejected as u64;
-        // What the connection does not take at once goes nowhere: its client has stopped reading.
-        write_at_once(self.stream.get_ref(), protocol::BUSY.repeat(rejected).as_bytes());
+        // The rest of a partial write is dropped: the client has stopped reading.
+        try_write(self.stream.get_ref(), protocol::BUSY.repeat(rejected).as_bytes());
         CloseReason::Closed
     }
 
-    /// Writes the last replies and ends. A close over unread bytes would reset the connection and take the replies away
-    /// with it, so what still comes is read, within bounds and at a pace that leaves others their turn.
-    pub(super) async fn close_after(
+    /// Writes the last replies and closes the connection. Closing it with unread input would reset it and discard the
+    /// replies, so input is discarded first, with bounds on time, bytes and rate.
+    pub(super) async fn send_and_close(
         &mut self,
         replies: Vec<Reply>,
         reason: CloseReason,
@@ -88,12 +90,12 @@
         reason
     }
 
-    /// Reads and drops what still comes.
+    /// Reads and discards input until the client closes the connection or a bound is reached.
     async fn discard_input(&self, service: &ClientService) {
         let due = Instant::now() + DISCARD_TIMEOUT;
         let mut bytes_left = MAX_DISCARDED_BYTES;
         if self.evicted.is_closed() {
-            return discard_briefly(&self.stream, service).await;
+            return linger(&self.stream, service).await;
         }
         service.start_waiting(self);
         while bytes_left > 0 && Instant::now() < due && !self.evicted.is_closed() {
@@ -104,7 +106,7 @@
                     Timer::after(DISCARD_PAUSE).await;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.readable().or(self.time_over(due)).await;
+                    self.readable().or(self.timeout_or_eviction(due)).await;
                 }
                 Err(e) if is_transient(&e) => transient::pause().await,
                 Err(_) => return,
--- a/crates/relay/src/clients/connection.rs
+++ b/crates/relay/src/clients/connection.rs
@@ -1,8 +1,8 @@
-//! One client's connection, from the first byte to its end.
+//! A client connection.
 //!
-//! Owns the socket, what was read and not yet carried out, and the order of the replies. A connection is always in one
-//! of three states ([`Expecting`]); each round waits for input, carries out the requests that have arrived whole and
-//! writes their replies. Never takes back a message whose reply left whole, and never reads without a bound.
+//! Owns the socket, the buffered input and the order of the replies. A connection is always in one of three states
+//! ([`ExpectedInput`]); each turn waits for input, executes the complete requests in the buffer and writes their
+//! replies. A message whose reply was written completely is never withdrawn, and the input buffer is bounded.
 
 use super::ClientService;
 use super::close_reason::CloseReason;
@@ -18,111 +18,112 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Bytes of a request at most, with room for its words beside the body. More than one request may be in the buffer,
-/// but no more is read before it is parsed.
+/// Maximum size of a request in bytes: the body and room for the other arguments. The buffer may hold several requests;
+/// once it exceeds this size, nothing more is read until it is parsed.
 const MAX_REQUEST_BYTES: usize = MAX_BODY_BYTES + 4 * 1024;
-/// Bytes that one read takes.
+/// Maximum number of bytes per read.
 pub(super) const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// The first request must begin by then, a request that has begun must be whole and a reply taken: far more than a
-/// client that is well needs, and within what others may be kept waiting for a place.
+/// Time limit for the start of the first request, for the completion of a request and for writing replies. A healthy
+/// client needs far less, and other clients can wait this long for a free connection.
 const SLOW_CLIENT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// While stopping a new connection is closed if its first request has not begun by then: who opens one means to ask.
-const FIRST_REQUEST_WHILE_STOPPING: Duration = Duration::from_millis(400);
-/// A client that asks for nothing for so long is disconnected, so that its place is free.
+/// Time limit for the start of the first request while the relay stops. A client that opens a connection is about to
+/// send a request, so the connection is not closed at once.
+const FIRST_REQUEST_STOPPING_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time without a request after which an idle connection is closed to make room for others.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Requests of one connection carried out in one turn, so that a client that sends many doesn't go before all others.
+/// Maximum number of requests of a connection executed per turn, so that a pipelining client does not delay others.
 pub(super) const MAX_REQUESTS_PER_TURN: usize = 32;
-/// The pause before the next read, for each error reply in a row: slows down a client that repeats its error.
-const PAUSE_PER_ERROR: Duration = Duration::from_millis(50);
-/// The pause grows no longer than this many errors make it: one second.
-const MAX_PAUSED_ERRORS: u32 = 20;
+/// Delay before the next read per consecutive error reply, to slow down a client that repeats an invalid request.
+const ERROR_REPLY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum number of consecutive errors that extend the delay, which limits it to one second.
+const MAX_ERROR_REPLY_DELAYS: u32 = 20;
 
-/// What a connection waits for.
+/// Input that a connection waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Expecting {
-    /// The beginning of its first request.
+enum ExpectedInput {
+    /// Start of the first request.
     FirstRequest,
-    /// The rest of a request that has begun.
+    /// Rest of an incomplete request.
     Remainder,
-    /// The beginning of another request.
+    /// Start of a further request.
     NextRequest,
 }
 
-/// What ended a wait for input.
+/// Event that ended a wait for input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Wakeup {
     Input,
-    /// The time for what is expected is over, or the place is needed for another connection.
-    TimeOver,
+    /// The time limit has expired, or the connection was evicted to make room for another one.
+    TimedOutOrEvicted,
     Stopping,
     Standby,
 }
 
-/// The reply to a request.
+/// Reply to a request.
 pub(super) enum Reply {
-    /// Known already.
+    /// Complete reply line.
     Line(String),
-    /// To come from the dispatcher.
+    /// Channel on which the dispatcher sends the reply.
     Pending(Receiver<SubmissionReply>),
 }
 
-/// What a turn did with the buffered requests.
+/// Result of executing the buffered requests.
 struct Turn {
     replies: Vec<Reply>,
     end: TurnEnd,
 }
 
-/// Why a turn ended.
+/// Reason for the end of a turn.
 enum TurnEnd {
-    /// No whole request is left in the buffer.
+    /// The buffer has no further complete request.
     BufferDrained,
-    /// Whole requests may be left, but it is the turn of others.
+    /// The limit per turn is reached; the buffer may have further complete requests.
     MaxRequestsReached,
-    /// The client said that it was done.
+    /// The client sent `QUIT`.
     Quit,
-    /// What is left is no request.
+    /// The rest of the buffer is not a valid request.
     Invalid(ProtocolError),
 }
 
-/// Replies as bytes, with the place of each that tells of a newly accepted message.
+/// Encoded replies, with the position of each "accepted" reply.
 #[derive(Default)]
 struct ReplyBytes {
     bytes: Vec<u8>,
     accepted: Vec<AcceptedReply>,
-    /// Requests that these replies answer; some replies are to no request.
+    /// Number of replies. A reply to invalid input counts too.
     answered: u64,
-    /// The dispatcher is gone: what it had not answered stays unanswered.
-    dispatcher_gone: bool,
+    /// Whether the dispatcher has stopped, so that the remaining requests get no reply.
+    is_dispatcher_closed: bool,
 }
 
-/// A reply that tells a client that its message was accepted.
+/// An "accepted" reply among the encoded replies.
 pub(super) struct AcceptedReply {
     pub(super) message: MessageId,
-    /// Where its line ends among the bytes of all replies.
+    /// Position of the byte after its line.
     pub(super) end: usize,
 }
 
-/// A client's connection.
+/// A client connection.
 pub(super) struct ClientConnection {
     pub(super) stream: Async<TcpStream>,
-    /// Its number among all connections so far.
+    /// Sequence number of the connection.
     pub(super) number: u64,
-    /// Closed when it is to make room for another connection.
+    /// Channel that is closed to evict the connection in favor of another one.
     pub(super) evict: Sender<()>,
     pub(super) evicted: Receiver<()>,
-    /// When it was accepted, its last request was answered or the one it is sending began.
+    /// Time of the last of: accept, reply to the last request, start of the current request.
     pub(super) waiting_since: Instant,
     pub(super) buffer: Vec<u8>,
-    /// Requests in a row that were answered with an error.
+    /// Number of consecutive requests answered with an error.
     consecutive_errors: u32,
-    /// Requests read so far.
+    /// Number of requests read.
     pub(super) requests: u64,
-    /// Requests whose replies have left whole.
+    /// Number of requests whose replies were written completely.
     pub(super) answered_requests: u64,
 }
 
 impl ClientConnection {
-    /// A connection just accepted.
+    /// Returns the state of a newly accepted connection.
     pub(super) fn new(stream: Async<TcpStream>, number: u64) -> ClientConnection {
         let _ = stream.get_ref().set_nodelay(true);
         let (evict, evicted) = async_channel::bounded(1);
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Requests that were read and have no answer, those still in the buffer included.
+    /// Returns the number of requests read but not answered, including those in the buffer.
     pub(super) fn unanswered_requests(&self) -> u64 {
         let mut buffered = 0;
         let mut rest = &self.buffer[..];
@@ -150,11 +151,11 @@
         self.requests.saturating_sub(self.answered_requests) + buffered
     }
 
-    /// Serves the client until the connection ends; says why it did.
+    /// Serves the client until the connection ends, and returns the reason.
     pub(super) async fn run(&mut self, service: &ClientService) -> CloseReason {
         let mut has_buffered_requests = false;
         loop {
-            // A connection may only be closed while it has nothing to say: a request that has arrived is answered.
+            // A connection is only closed while no input is pending: every request that has arrived gets a reply.
             if !has_buffered_requests
                 && !self.has_input()
                 && let Err(reason) = self.wait_for_input(service).await
@@ -162,12 +163,12 @@
                 return reason;
             }
             if service.config.ending.is_closed() {
-                return self.reject_at_the_end(service).await;
+                return self.reject_on_exit(service).await;
             }
             match self.read_available() {
                 Ok(Input::Open) => {}
-                Ok(Input::Unreadable) => transient::pause().await,
-                // A client that is gone hears no reply: what it asked last is not accepted.
+                Ok(Input::TemporarilyUnreadable) => transient::pause().await,
+                // The client may have closed the connection entirely, so its last requests are not accepted.
                 Ok(Input::Ended) => return self.reject_after_end_of_input(),
                 Err(_) => return CloseReason::Broken,
             }
@@ -178,17 +179,17 @@
         }
     }
 
-    fn expecting(&self) -> Expecting {
+    fn expecting(&self) -> ExpectedInput {
         if !self.buffer.is_empty() {
-            Expecting::Remainder
+            ExpectedInput::Remainder
         } else if self.requests == 0 {
-            Expecting::FirstRequest
+            ExpectedInput::FirstRequest
         } else {
-            Expecting::NextRequest
+            ExpectedInput::NextRequest
         }
     }
 
-    /// Waits until there is something to read; else says why the connection ends.
+    /// Waits for input; returns the close reason if the wait ends without input.
     async fn wait_for_input(&mut self, service: &ClientService) -> Result<(), CloseReason> {
         let expecting = self.expecting();
         service.start_waiting(self);
@@ -196,71 +197,70 @@
         let has_input = self.has_input();
         service.stop_waiting(self.number);
         if has_input || wakeup == Wakeup::Input {
-            if expecting == Expecting::NextRequest {
+            if expecting == ExpectedInput::NextRequest {
                 self.waiting_since = Instant::now();
             }
             return Ok(());
         }
         Err(match (wakeup, expecting) {
-            // While stopping the rest of a request is waited for, up to the end of the process.
-            (Wakeup::Stopping, Expecting::Remainder) => self.reject_at_the_end(service).await,
+            // Only the exit of the process ends the wait for the rest of a request.
+            (Wakeup::Stopping, ExpectedInput::Remainder) => self.reject_on_exit(service).await,
             (Wakeup::Stopping, _) => CloseReason::Stopping,
             (Wakeup::Standby, _) => CloseReason::Standby,
-            (_, Expecting::Remainder) if self.evicted.is_closed() => {
-                // Nobody took the request on: it may come again.
-                self.close_after(vec![busy()], CloseReason::Evicted, service).await
+            (_, ExpectedInput::Remainder) if self.evicted.is_closed() => {
+                // The request was not submitted, so the client may safely repeat it.
+                self.send_and_close(vec![busy_reply()], CloseReason::Evicted, service).await
             }
-            (_, Expecting::Remainder) => {
+            (_, ExpectedInput::Remainder) => {
                 let late = Reply::Line(protocol::error_line("the request did not come in time"));
-                self.close_after(vec![late], CloseReason::Slow, service).await
+                self.send_and_close(vec![late], CloseReason::Slow, service).await
             }
-            (_, Expecting::FirstRequest) => CloseReason::Silent,
-            (_, Expecting::NextRequest) => CloseReason::Idle,
+            (_, ExpectedInput::FirstRequest) => CloseReason::Silent,
+            (_, ExpectedInput::NextRequest) => CloseReason::Idle,
         })
     }
 
-    /// The first event that ends a wait; of several at one moment the one named first.
-    async fn next_wakeup(&self, service: &ClientService, expecting: Expecting) -> Wakeup {
+    /// Waits for the first event that ends a wait. The order in the last line decides between simultaneous events.
+    async fn next_wakeup(&self, service: &ClientService, expecting: ExpectedInput) -> Wakeup {
         let timeout = match expecting {
-            Expecting::FirstRequest | Expecting::Remainder => SLOW_CLIENT_TIMEOUT,
-            Expecting::NextRequest => IDLE_TIMEOUT,
+            ExpectedInput::FirstRequest | ExpectedInput::Remainder => SLOW_CLIENT_TIMEOUT,
+            ExpectedInput::NextRequest => IDLE_TIMEOUT,
         };
         let stopping = async {
             let _ = service.config.stopping.recv().await;
             match expecting {
-                Expecting::FirstRequest => {
-                    Timer::at(self.waiting_since + FIRST_REQUEST_WHILE_STOPPING).await;
+                ExpectedInput::FirstRequest => {
+                    Timer::at(self.waiting_since + FIRST_REQUEST_STOPPING_TIMEOUT).await;
                 }
-                // A request that has begun is waited for.
-                Expecting::Remainder => std::future::pending().await,
-                Expecting::NextRequest => {}
+                // The rest of a request may still arrive until the process exits.
+                ExpectedInput::Remainder => std::future::pending().await,
+                ExpectedInput::NextRequest => {}
             }
             Wakeup::Stopping
         };
         let standby = async {
-            if expecting == Expecting::Remainder {
+            if expecting == ExpectedInput::Remainder {
                 std::future::pending::<()>().await;
             }
-            service.standby_closes_idle(self.waiting_since).await;
+            service.wait_for_standby_close(self.waiting_since).await;
             Wakeup::Standby
         };
         let ending = async {
             let _ = service.config.ending.recv().await;
             Wakeup::Stopping
         };
-        let time_over = self.time_over(self.waiting_since + timeout);
-        self.readable().or(time_over).or(stopping).or(standby).or(ending).await
+        let timeout_or_eviction = self.timeout_or_eviction(self.waiting_since + timeout);
+        self.readable().or(timeout_or_eviction).or(stopping).or(standby).or(ending).await
     }
 
-    /// Waits until there may be something to read. A wait that fails tells nothing of the connection; the read behind it
-    /// does.
+    /// Waits until the socket may be readable. The read that follows detects errors of the connection.
     pub(super) async fn readable(&self) -> Wakeup {
         transient::readable(&self.stream).await;
         Wakeup::Input
     }
 
-    /// Waits until `due`, or until the place is needed for another connection.
-    pub(super) async fn time_over(&self, due: Instant) -> Wakeup {
+    /// Waits until `due`, or until the connection is evicted.
+    pub(super) async fn timeout_or_eviction(&self, due: Instant) -> Wakeup {
         let late = async {
             Timer::at(due).await;
         };
@@ -268,11 +268,11 @@
             let _ = self.evicted.recv().await;
         };
         late.or(evicted).await;
-        Wakeup::TimeOver
+        Wakeup::TimedOutOrEvicted
     }
 
-    /// Carries out the requests that have arrived whole, as many as one turn allows, and writes their replies; says if
-    /// whole requests may be left, or why the connection ends.
+    /// Executes up to [`MAX_REQUESTS_PER_TURN`] complete requests and writes their replies. Returns whether further
+    /// complete requests may be buffered, or the close reason.
     async fn take_turn(&mut self, service: &ClientService) -> Result<bool, CloseReason> {
         let requests_before = self.requests;
         let Turn { mut replies, end } = self.run_buffered_requests(service);
@@ -281,11 +281,11 @@
             TurnEnd::MaxRequestsReached => true,
             TurnEnd::Quit => {
                 replies.push(Reply::Line(protocol::OK.to_string()));
-                return Err(self.close_after(replies, CloseReason::Quit, service).await);
+                return Err(self.send_and_close(replies, CloseReason::Quit, service).await);
             }
             TurnEnd::Invalid(error) => {
                 replies.push(Reply::Line(protocol::error_line(format!("Protocol error: {error}"))));
-                return Err(self.close_after(replies, CloseReason::ProtocolError, service).await);
+                return Err(self.send_and_close(replies, CloseReason::ProtocolError, service).await);
             }
         };
         self.send_replies(replies, service).await?;
@@ -293,7 +293,7 @@
         if answered {
             self.waiting_since = Instant::now();
         }
-        // In standby a connection ends once it is owed nothing, and none is held long after the operators' call.
+        // In standby a connection is closed as soon as no reply is pending, to move clients away promptly.
         let standby =
             service.config.maintenance.borrow().should_close_connections(service.config.start.elapsed());
         if standby && self.buffer.is_empty() && !has_more && !self.has_input() {
@@ -304,23 +304,23 @@
             return Ok(true);
         }
         if self.buffer.is_empty() {
-            // Gives back the memory of a large request.
+            // Releases the memory of a large request.
             self.buffer = Vec::new();
         }
-        // A client may submit the same again the moment it gets an error.
+        // A client may repeat an invalid request as soon as it gets the error reply.
         if self.consecutive_errors > 0 && answered {
-            Timer::after(PAUSE_PER_ERROR * self.consecutive_errors.min(MAX_PAUSED_ERRORS)).await;
+            Timer::after(ERROR_REPLY_DELAY * self.consecutive_errors.min(MAX_ERROR_REPLY_DELAYS)).await;
         }
         Ok(false)
     }
 
-    /// Carries out buffered requests in order; what is left of the buffer waits for the next turn.
+    /// Executes buffered requests in order, up to the limit per turn.
     fn run_buffered_requests(&mut self, service: &ClientService) -> Turn {
         let mut replies = Vec::new();
         while replies.len() < MAX_REQUESTS_PER_TURN {
             let request = match protocol::parse_request(&self.buffer) {
                 Ok(Some(request)) => request,
-                // The rest of a request this large will not be read.
+                // The request exceeds the limit; its rest is not read.
                 Ok(None) if self.buffer.len() > MAX_REQUEST_BYTES => {
                     return Turn { replies, end: TurnEnd::Invalid(ProtocolError::RequestTooLarge) };
                 }
@@ -329,7 +329,7 @@
             };
             self.buffer.drain(..request.wire_bytes);
             self.requests += 1;
-            match Command::parse(request.words) {
+            match Command::parse(request.bulk_strings) {
                 Ok(Command::Quit) => return Turn { replies, end: TurnEnd::Quit },
                 command => replies.push(run_command(command, service)),
             }
@@ -337,13 +337,13 @@
         Turn { replies, end: TurnEnd::MaxRequestsReached }
     }
 
-    /// True if there is something to read, the end of the connection included.
+    /// Returns whether input, or the end of the stream, can be read.
     fn has_input(&self) -> bool {
         let peeked = self.stream.get_ref().peek(&mut [0]);
         !peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Reads what has come, as far as the buffer goes.
+    /// Reads the available input, up to the limit of the buffer.
     pub(super) fn read_available(&mut self) -> io::Result<Input> {
         let mut chunk = [0; READ_CHUNK_BYTES];
         while self.buffer.len() <= MAX_REQUEST_BYTES {
@@ -352,52 +352,55 @@
                 Ok(read) => self.buffer.extend(&chunk[..read]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if is_transient(&e) => return Ok(Input::Unreadable),
+                Err(e) if is_transient(&e) => return Ok(Input::TemporarilyUnreadable),
                 Err(e) => return Err(e),
             }
         }
         Ok(Input::Open)
     }
 
-    /// Writes the replies in order; says why the connection ends if it does. A message whose reply did not leave whole
-    /// is withdrawn; one whose reply did stands, whatever comes after it, as its client may have read it.
+    /// Writes the replies in order; returns the close reason if the connection ends. A message whose reply was written
+    /// incompletely is withdrawn. A message whose reply was written completely stays accepted, even if a later write
+    /// fails, because the client may have read the reply.
     pub(super) async fn send_replies(
         &mut self,
         replies: Vec<Reply>,
         service: &ClientService,
     ) -> Result<(), CloseReason> {
-        let ReplyBytes { bytes, accepted, answered, dispatcher_gone } = self.collect_replies(replies).await;
-        let when_written = if dispatcher_gone { Err(CloseReason::Stopping) } else { Ok(()) };
+        let ReplyBytes { bytes, accepted, answered, is_dispatcher_closed } =
+            self.collect_replies(replies).await;
+        let result_if_written = if is_dispatcher_closed { Err(CloseReason::Stopping) } else { Ok(()) };
         if bytes.is_empty() {
-            return when_written;
+            return result_if_written;
         }
-        let has_ended_sending = matches!(self.stream.get_ref().peek(&mut [0]), Ok(0));
+        let has_closed_sending = matches!(self.stream.get_ref().peek(&mut [0]), Ok(0));
         let (unwritten, result) = write_in_time(&mut self.stream, &bytes).await;
-        // A client that has only ended its sending reads the replies; one that is gone answers them with a reset. It
-        // comes at once where both are on one machine. Later the client may have read them: then they stand.
-        let is_gone = has_ended_sending && self.is_reset();
+        // A client that closed only its sending direction reads the replies; one that closed the socket responds with a
+        // reset, immediately if both are on the same machine. A later reset does not show that the replies were unread,
+        // so the messages then stay accepted.
+        let has_reset = has_closed_sending && self.is_reset();
         let reason = match result {
-            Ok(()) if !is_gone => {
+            Ok(()) if !has_reset => {
                 self.answered_requests += answered;
-                return when_written;
+                return result_if_written;
             }
             Err(e) if e.kind() == io::ErrorKind::TimedOut => CloseReason::Slow,
             _ => CloseReason::ClosedBeforeReply,
         };
-        let heard = if is_gone { 0 } else { bytes.len() - unwritten };
-        for message in unheard_messages(&accepted, heard) {
+        let delivered_bytes = if has_reset { 0 } else { bytes.len() - unwritten };
+        for message in messages_with_incomplete_reply(&accepted, delivered_bytes) {
             (service.config.withdraw)(message);
         }
         Err(reason)
     }
 
-    /// True if the client has answered what was written with a reset.
+    /// Returns whether the client has reset the connection.
     fn is_reset(&self) -> bool {
         let peeked = self.stream.get_ref().peek(&mut [0]);
         peeked.is_err_and(|e| e.kind() != io::ErrorKind::WouldBlock && !is_transient(&e))
     }
 
-    /// Waits for the replies and puts their lines together.
+    /// Waits for the pending replies and concatenates all lines.
     async fn collect_replies(&mut self, replies: Vec<Reply>) -> ReplyBytes {
         let mut collected = ReplyBytes::default();
         for reply in replies {
@@ -405,7 +408,7 @@
                 Reply::Line(line) => line,
                 Reply::Pending(pending) => {
                     let Ok(reply) = pending.recv().await else {
-                        collected.dispatcher_gone = true;
+                        collected.is_dispatcher_closed = true;
                         break;
                     };
                     let line = protocol::submission_reply_line(&reply);
@@ -417,7 +420,7 @@
                 }
             };
             if line.starts_with('-') {
-                debug!("answered: {}", line.trim_end());
+                debug!("reply to a client: {}", line.trim_end());
             }
             if line.starts_with("-ERR") {
                 self.consecutive_errors += 1;
@@ -431,20 +434,20 @@
     }
 }
 
-/// Whether a client may still send.
+/// State of the receiving direction after a read.
 pub(super) enum Input {
     Open,
-    /// It can't be told at this moment.
-    Unreadable,
+    /// The read failed with a transient error.
+    TemporarilyUnreadable,
     Ended,
 }
 
-/// The reply to a request that nobody takes on.
-pub(super) fn busy() -> Reply {
+/// Returns the rejection of a request that was not submitted.
+pub(super) fn busy_reply() -> Reply {
     Reply::Line(protocol::BUSY.to_string())
 }
 
-/// Carries out a command other than `QUIT`, which ends its turn.
+/// Executes a command; `QUIT` is handled by the caller because it ends the turn.
 fn run_command(command: Result<Command, CommandError>, service: &ClientService) -> Reply {
     match command {
         Ok(Command::Submit(submission)) => {
@@ -461,7 +464,7 @@
     }
 }
 
-/// Writes the bytes within the time that a client has to take them; says how many are left if that fails.
+/// Writes the bytes within [`SLOW_CLIENT_TIMEOUT`]; returns the number of unwritten bytes and the result.
 pub(super) async fn write_in_time<W: AsyncWrite + Unpin>(
     writer: &mut W,
     bytes: &[u8],
@@ -476,8 +479,8 @@
     (unwritten.len(), result)
 }
 
-/// The accepted messages whose replies did not leave whole, when so many bytes were written.
-pub(super) fn unheard_messages(
+/// Returns the accepted messages whose replies are not completely within the first `written` bytes.
+pub(super) fn messages_with_incomplete_reply(
     accepted: &[AcceptedReply],
     written: usize,
 ) -> impl Iterator<Item = MessageId> {
--- a/crates/relay/src/clients/lingering.rs
+++ b/crates/relay/src/clients/lingering.rs
@@ -1,5 +1,5 @@
-//! The end of a connection whose client may still send: a close over unread bytes would reset it and take the last reply
-//! away, so what comes is read and dropped for a while.
+//! Lingering close of client connections: closing a socket with unread input resets the connection, and the client may
+//! lose the last reply. Input is therefore read and discarded for a short time before the close.
 
 use super::ClientService;
 use crate::transient::{self, is_transient};
@@ -9,19 +9,19 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// How long it is read where the place is needed for another connection: a client that is well has sent the rest of its
-/// request by then, and reads its reply before the close can reset the connection.
-const SHORT_DISCARD_TIMEOUT: Duration = Duration::from_millis(100);
-/// Tries of a write that is not waited for.
-const MAX_WRITES_AT_ONCE: usize = 20;
-/// The pause between two such reads, which leaves other connections their turn.
+/// Duration for which input is discarded when the connection has to make room for another one. A healthy client has
+/// sent the rest of its request and read its reply by then.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum number of attempts of a write that fails with transient errors.
+const MAX_WRITE_ATTEMPTS: usize = 20;
+/// Pause between two reads of discarded input, in which other connections are served.
 pub(super) const DISCARD_PAUSE: Duration = Duration::from_millis(1);
-/// Bytes that one read takes from a connection whose input is dropped.
+/// Maximum number of bytes per read of discarded input.
 const DISCARD_CHUNK_BYTES: usize = 64 * 1024;
 
-/// Writes what a connection takes at once; transient errors are tried over.
-pub(super) fn write_at_once(mut stream: &TcpStream, bytes: &[u8]) {
-    for _ in 0..MAX_WRITES_AT_ONCE {
+/// Writes as much as the socket accepts without waiting; retries after transient errors.
+pub(super) fn try_write(mut stream: &TcpStream, bytes: &[u8]) {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match stream.write(bytes) {
             Err(e) if is_transient(&e) => {}
             _ => return,
@@ -29,17 +29,17 @@
     }
 }
 
-/// Reads and drops some of what has come. Not async: a buffer that lives across an `await` would be held by every
-/// connection for as long as it is open.
+/// Reads and discards one chunk of input. Not async, because a buffer that lives across an `await` becomes part of
+/// the task of every open connection.
 pub(super) fn discard_chunk(stream: &Async<TcpStream>) -> io::Result<usize> {
     stream.get_ref().read(&mut [0; DISCARD_CHUNK_BYTES])
 }
 
-/// Reads and drops for a moment what still comes, so that the close does not take the reply away; not at all if too many
-/// connections end like this at once.
-pub(super) async fn discard_briefly(stream: &Async<TcpStream>, service: &ClientService) {
+/// Reads and discards input for up to [`LINGER_TIMEOUT`], so that the close does not discard the reply. Returns at
+/// once if too many connections linger.
+pub(super) async fn linger(stream: &Async<TcpStream>, service: &ClientService) {
     if service.start_lingering() {
-        discard_until(stream, Instant::now() + SHORT_DISCARD_TIMEOUT).await;
+        discard_until(stream, Instant::now() + LINGER_TIMEOUT).await;
         service.stop_lingering();
     }
 }
--- a/crates/relay/src/clients/mod.rs
+++ b/crates/relay/src/clients/mod.rs
@@ -1,8 +1,8 @@
-//! The clients' side of the relay: accepts connections, bounds them all together, and serves each one in a task of its
-//! own.
+//! RESP2 server for clients: accepts connections, bounds their number and memory, and serves each in its own task.
 //!
-//! [`ClientService`] owns what connections share. `connection` serves one of them, `closing` ends it, `protocol` reads and writes RESP2,
-//! `submission` is what a request hands to the dispatcher. Nothing here decides on a message.
+//! [`ClientService`] owns the state shared by all connections. `connection` serves one connection, `closing` ends it,
+//! `protocol` reads and writes RESP2, `submission` holds the types passed to the dispatcher. All decisions about a
+//! message are made by the dispatcher.
 
 mod close_reason;
 mod closing;
@@ -36,63 +36,66 @@
     ClientSubmission, MessageContent, SubmissionError, SubmissionMetadata, SubmissionReply, is_same_message,
 };
 
-/// The pause after a failed accept, as when descriptors have run out: they are not there again at once.
+/// Pause after a failed accept. A shortage of file descriptors, the usual cause, does not end immediately.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Connections that only linger for their last reply to be read may be one part in so many beyond the limit.
+/// Divisor of the connection limit. The quotient is the number of connections that may linger, beyond the limit,
+/// until the client has read its last reply.
 const LINGER_DIVISOR: usize = 8;
 
-/// Takes a message in; the reply comes over the channel.
+/// Passes a submission to the dispatcher, which sends its reply through the channel.
 pub(crate) type SubmitHandler = Box<dyn Fn(ClientSubmission, Sender<SubmissionReply>)>;
 
-/// What the client service is given at its start.
+/// Configuration and shared handles of the client service.
 pub(crate) struct ClientServiceConfig {
-    /// Takes a message in.
+    /// Passes a submission to the dispatcher.
     pub(crate) submit: SubmitHandler,
-    /// Told of a message whose client did not hear that it was accepted.
+    /// Reports a message whose "accepted" reply could not be delivered to its client.
     pub(crate) withdraw: Box<dyn Fn(MessageId)>,
-    /// Closed when clients are to go.
+    /// Channel that is closed when the relay stops accepting and starts to close client connections.
     pub(crate) stopping: Receiver<()>,
-    /// Closed shortly before the process ends: what was submitted is answered, nothing more is read.
+    /// Channel that is closed shortly before the process exits: pending replies are sent, further requests are
+    /// rejected.
     pub(crate) ending: Receiver<()>,
-    /// Connections at most.
+    /// Maximum number of open connections, lingering ones excluded.
     pub(crate) max_connections: usize,
-    /// Bytes of requests that are not whole, over all connections, at most.
+    /// Maximum number of buffered bytes of incomplete requests, over all connections.
     pub(crate) max_buffered_bytes: usize,
-    /// Connections open now.
+    /// Number of open connections.
     pub(crate) open_connections: Rc<Cell<usize>>,
-    /// Whether the relay is in standby, and when idle connections are closed then; times count from `start`.
+    /// Maintenance state: whether the relay is in standby, and when idle connections are then closed. Its times are
+    /// durations since `start`.
     pub(crate) maintenance: Rc<RefCell<MaintenanceState>>,
     pub(crate) start: Instant,
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) violations: Rc<Violations>,
 }
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub(crate) struct ClientService {
     config: ClientServiceConfig,
-    /// Connections that wait for their client, by number.
+    /// Connections that wait for input, by connection number.
     waiting: RefCell<BTreeMap<u64, WaitingConnection>>,
-    /// Connections that have their last reply and are open only for it to be read.
+    /// Number of connections that have sent their last reply and stay open only until the client has read it.
     lingering: Cell<usize>,
-    /// Closed, and made anew, when standby begins or ends: wakes the connections that wait.
+    /// Channel that is closed and replaced when standby begins or ends, which wakes the waiting connections.
     standby_changed: RefCell<(Sender<()>, Receiver<()>)>,
 }
 
-/// A connection that waits for its client, and may be closed for another by closing `evict`.
+/// A connection that waits for input. Closing `evict` closes the connection.
 struct WaitingConnection {
     since: Instant,
-    /// What has come of a request that is not whole.
+    /// Number of received bytes of an incomplete request.
     buffered_bytes: usize,
     evict: Sender<()>,
 }
 
-/// Which connections may be closed for others.
+/// Selection of the connections that may be closed to make room.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Evictable {
-    /// All that wait.
+    /// All connections that wait for input.
     Waiting,
-    /// Those that hold part of a request.
+    /// Waiting connections with part of a request in their buffer.
     Buffering,
 }
 
@@ -106,14 +109,14 @@
         }
     }
 
-    /// Wakes the connections that wait, as standby began or ended.
+    /// Wakes the waiting connections after standby began or ended.
     pub(crate) fn notify_standby_changed(&self) {
         let (old_sender, _) = self.standby_changed.replace(async_channel::bounded(1));
         old_sender.close();
     }
 
-    /// Waits until standby closes a connection that has waited for its next request since `since`.
-    async fn standby_closes_idle(&self, since: Instant) {
+    /// Waits until standby requires closing a connection that has waited for its next request since `since`.
+    async fn wait_for_standby_close(&self, since: Instant) {
         loop {
             let changed = self.standby_changed.borrow().1.clone();
             let close_at = self
@@ -141,8 +144,8 @@
         }
     }
 
-    /// Closes the connection that has waited longest, so that clients that say nothing or never end a request don't
-    /// keep out others. False if there is none.
+    /// Closes the connection that has waited longest, so that silent clients and incomplete requests do not exclude
+    /// other clients. Returns whether a connection was closed.
     fn evict_oldest(&self, evictable: Evictable) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         let candidates = waiting
@@ -153,7 +156,7 @@
         connection.evict.close()
     }
 
-    /// Notes that the connection waits for its client, and makes room for what it has buffered.
+    /// Registers the connection as waiting for input, and evicts others if the limit of buffered bytes is exceeded.
     fn start_waiting(&self, connection: &ClientConnection) {
         let buffered_bytes = connection.buffer.len();
         let entry = WaitingConnection {
@@ -172,8 +175,7 @@
         }
     }
 
-    /// Notes that a connection that has its last reply is kept for a moment, beyond the limit of connections. False if
-    /// too many are.
+    /// Counts a connection as lingering, outside the connection limit. Returns false if too many connections linger.
     fn start_lingering(&self) -> bool {
         let has_room = self.lingering.get() < self.config.max_connections.div_ceil(LINGER_DIVISOR);
         if has_room {
@@ -194,14 +196,14 @@
         self.waiting.borrow().values().map(|connection| connection.buffered_bytes).sum()
     }
 
-    /// True if there is a place for another connection, or one could be freed.
-    fn has_room(&self) -> bool {
+    /// Returns whether another connection may be served, after closing a waiting one if necessary.
+    fn make_room(&self) -> bool {
         self.config.open_connections.get() - self.lingering.get() < self.config.max_connections
             || self.evict_oldest(Evictable::Waiting)
     }
 }
 
-/// Accepts connections until clients are to go.
+/// Accepts connections until the `stopping` channel is closed.
 pub(crate) async fn serve(
     listener: Async<TcpListener>,
     service: Rc<ClientService>,
@@ -211,17 +213,17 @@
     let mut failures = 0;
     while let Some(accepted) = accept(&listener, &service).await {
         match accepted {
-            // Accepting fails as long as descriptors are short: that must not keep the listener open.
+            // Accepting fails while file descriptors are exhausted; the listener must be closed even then.
             Err(_) if service.config.stopping.is_closed() => return,
             Err(e) => {
-                // Logged once, or a shortage would fill the log.
+                // Logged once per series of failures, to bound the log during a shortage of descriptors.
                 if failures == 0 {
-                    warn!("accept: {e}");
+                    warn!("can't accept a client connection: {e}");
                 }
                 failures += 1;
                 Timer::after(ACCEPT_PAUSE).await;
             }
-            Ok((stream, peer)) if !service.has_room() => {
+            Ok((stream, peer)) if !service.make_room() => {
                 executor.spawn(reject_connection(stream, peer, service.clone())).detach();
             }
             Ok((stream, peer)) => {
@@ -236,7 +238,7 @@
     }
 }
 
-/// The next connection; none once clients are to go.
+/// Returns the next connection, or `None` once the `stopping` channel is closed.
 async fn accept(
     listener: &Async<TcpListener>,
     service: &ClientService,
@@ -246,14 +248,14 @@
         let _ = service.config.stopping.recv().await;
         None
     };
-    // Accepting is polled first: a listener closed over connections that came in time would reset them without an answer.
+    // `accepted` is polled first: closing the listener would reset connections that are already established.
     accepted.or(stopping).await
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it is closed, and logs the reason.
 async fn serve_connection(mut connection: ClientConnection, peer: SocketAddr, service: Rc<ClientService>) {
     let reason = connection.run(&service).await;
-    check_owes_nothing(&connection, reason, &service);
+    check_all_answered(&connection, reason, &service);
     let reason_text = reason.to_string();
     service.config.metrics.count_closed_connection(&reason_text);
     let transition = Transition {
@@ -269,11 +271,11 @@
     service.config.open_connections.set(service.config.open_connections.get() - 1);
 }
 
-/// The guard of the verb "close": a request that was read gets its answer before the relay closes its connection. One
-/// that the client closed or broke owes nothing any more.
-fn check_owes_nothing(connection: &ClientConnection, reason: CloseReason, service: &ClientService) {
-    let owed = connection.unanswered_requests();
-    if owed > 0 && !reason.is_clients_doing() {
+/// Reports a violation if the relay closed the connection before it had answered every request that it read. A close
+/// caused by the client is exempt.
+fn check_all_answered(connection: &ClientConnection, reason: CloseReason, service: &ClientService) {
+    let unanswered = connection.unanswered_requests();
+    if unanswered > 0 && !reason.is_caused_by_client() {
         let evidence = Evidence {
             connection: Some(connection.number),
             expected: "an answer to every request that was read",
@@ -283,17 +285,17 @@
     }
 }
 
-/// Turns a new connection away. A close over a request that was not read, or that is still on its way, would reset the
-/// connection, and its client would never see the reply: so what comes is read and dropped for a moment.
+/// Rejects a new connection with `-BUSY`. Closing it with unread input, or before a request in transit has arrived,
+/// would reset the connection and discard the reply, so input is read and discarded for a short time first.
 async fn reject_connection(stream: Async<TcpStream>, peer: SocketAddr, service: Rc<ClientService>) {
     let open_connections = &service.config.open_connections;
     open_connections.set(open_connections.get() + 1);
     let socket = stream.get_ref();
     let _ = socket.set_nodelay(true);
-    lingering::write_at_once(socket, protocol::BUSY.as_bytes());
+    lingering::try_write(socket, protocol::BUSY.as_bytes());
     let _ = socket.shutdown(Shutdown::Write);
     let _ = lingering::discard_chunk(&stream);
-    lingering::discard_briefly(&stream, &service).await;
+    lingering::linger(&stream, &service).await;
     info!("connection from {peer} ended: too-many after 0 requests");
     open_connections.set(open_connections.get() - 1);
 }
--- a/crates/relay/src/clients/protocol.rs
+++ b/crates/relay/src/clients/protocol.rs
@@ -1,30 +1,31 @@
-//! RESP2 as clients speak it: requests are arrays of bulk strings, replies are one line each.
+//! The subset of RESP2 used with clients: requests are arrays of bulk strings, each reply is one line.
 //!
-//! Owns no state: reads a request from the bytes that a connection has buffered, reads the command in it and writes
-//! the line of a reply. Never reads from a socket and never decides on a message.
+//! Stateless: parses a request from the buffered bytes of a connection, parses its command and formats reply lines.
+//! Performs no I/O.
 
 use super::submission::{ClientSubmission, MAX_BODY_BYTES, SubmissionError, SubmissionReply};
 use thiserror::Error;
 
-/// Words of a request at most: the longest command has five, and each word costs memory before it is checked.
-const MAX_WORDS: usize = 16;
-/// Bytes of a line that holds a length or a count at most, so that a count without an end is found at once.
+/// Maximum number of bulk strings in a request. The longest command has five; each one is copied before the command
+/// is validated.
+const MAX_BULK_STRINGS: usize = 16;
+/// Maximum size in bytes of a line with a length or a count, so that an unterminated one is rejected early.
 const MAX_LENGTH_LINE_BYTES: usize = 32;
 
-/// The reply once a message is accepted.
+/// Reply to an accepted message, and to `QUIT`.
 pub(super) const OK: &str = "+OK\r\n";
-/// The reply to what was rejected and is safe to submit again.
+/// Reply to a rejected message, which is safe to submit again.
 pub(super) const BUSY: &str = "-BUSY\r\n";
 
-/// Bytes that are no request. The connection ends after the error has been told.
+/// Input that is not a valid RESP2 request. The connection is closed after the error reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum ProtocolError {
     #[error("an array of bulk strings is expected")]
     NotAnArrayOfBulkStrings,
     #[error("invalid multibulk length")]
-    InvalidWordCount,
+    InvalidArrayLength,
     #[error("invalid bulk length")]
-    WordTooLarge,
+    BulkStringTooLarge,
     #[error("a bulk string does not end where it should")]
     MissingTerminator,
     #[error("a length is too long")]
@@ -35,7 +36,7 @@
     RequestTooLarge,
 }
 
-/// A request that can't be carried out. The connection goes on.
+/// A valid request with an invalid command. The connection stays open after the error reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum CommandError {
     #[error("unknown command")]
@@ -46,48 +47,48 @@
     InvalidSubmission(#[from] SubmissionError),
 }
 
-/// The words of a request: a command and its arguments.
-pub(super) type Words = Vec<Vec<u8>>;
+/// Bulk strings of a request: a command and its arguments.
+pub(super) type BulkStrings = Vec<Vec<u8>>;
 
-/// A request that has arrived whole.
+/// A complete request.
 pub(super) struct Request {
-    pub(super) words: Words,
-    /// Its bytes on the wire.
+    pub(super) bulk_strings: BulkStrings,
+    /// Size of the encoded request in bytes.
     pub(super) wire_bytes: usize,
 }
 
-/// The first request in `bytes`; none while it is not whole.
+/// Parses the first request in `bytes`; returns `None` while it is incomplete.
 pub(super) fn parse_request(bytes: &[u8]) -> Result<Option<Request>, ProtocolError> {
     let Some(header) = parse_length_line(bytes, 0, b'*')? else { return Ok(None) };
-    if header.length == 0 || header.length > MAX_WORDS {
-        return Err(ProtocolError::InvalidWordCount);
+    if header.length == 0 || header.length > MAX_BULK_STRINGS {
+        return Err(ProtocolError::InvalidArrayLength);
     }
-    let mut words = Vec::with_capacity(header.length);
+    let mut bulk_strings = Vec::with_capacity(header.length);
     let mut position = header.end;
     for _ in 0..header.length {
-        let Some(word) = parse_length_line(bytes, position, b'$')? else { return Ok(None) };
-        if word.length > MAX_BODY_BYTES {
-            return Err(ProtocolError::WordTooLarge);
+        let Some(bulk_string) = parse_length_line(bytes, position, b'$')? else { return Ok(None) };
+        if bulk_string.length > MAX_BODY_BYTES {
+            return Err(ProtocolError::BulkStringTooLarge);
         }
-        let end = word.end + word.length;
+        let end = bulk_string.end + bulk_string.length;
         let Some(terminator) = bytes.get(end..end + 2) else { return Ok(None) };
         if terminator != b"\r\n" {
             return Err(ProtocolError::MissingTerminator);
         }
-        words.push(bytes[word.end..end].to_vec());
+        bulk_strings.push(bytes[bulk_string.end..end].to_vec());
         position = end + 2;
     }
-    Ok(Some(Request { words, wire_bytes: position }))
+    Ok(Some(Request { bulk_strings, wire_bytes: position }))
 }
 
-/// A line that holds a length or a count.
+/// A parsed line with a length or a count.
 struct LengthLine {
     length: usize,
-    /// Where the next line begins.
+    /// Position of the byte after the line.
     end: usize,
 }
 
-/// The line at `position`, which starts with `marker`; none while it is not whole.
+/// Parses the line at `position`, which must start with `marker`; returns `None` while it is incomplete.
 fn parse_length_line(bytes: &[u8], position: usize, marker: u8) -> Result<Option<LengthLine>, ProtocolError> {
     let line = &bytes[position..];
     if line.first().is_some_and(|first| *first != marker) {
@@ -101,7 +102,7 @@
     };
     let digits = line[1..newline].strip_suffix(b"\r").ok_or(ProtocolError::UnreadableLength)?;
     let text = std::str::from_utf8(digits).map_err(|_| ProtocolError::UnreadableLength)?;
-    // The number parser would take a sign.
+    // `str::parse` would accept a leading `+`.
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(ProtocolError::UnreadableLength);
     }
@@ -109,7 +110,7 @@
     Ok(Some(LengthLine { length, end: position + newline + 1 }))
 }
 
-/// What a client asks for.
+/// A command of a client.
 pub(super) enum Command {
     Ping,
     Quit,
@@ -117,25 +118,26 @@
 }
 
 impl Command {
-    /// Reads a command from the words of a request.
-    pub(super) fn parse(words: Words) -> Result<Command, CommandError> {
-        let name = words.first().map(|word| word.to_ascii_uppercase()).unwrap_or_default();
-        match (&name[..], words.len()) {
+    /// Parses a command from the bulk strings of a request.
+    pub(super) fn parse(bulk_strings: BulkStrings) -> Result<Command, CommandError> {
+        let name =
+            bulk_strings.first().map(|bulk_string| bulk_string.to_ascii_uppercase()).unwrap_or_default();
+        match (&name[..], bulk_strings.len()) {
             (b"PING", 1) => Ok(Command::Ping),
             (b"QUIT", 1) => Ok(Command::Quit),
-            (b"OUT.ADD", 5) => Ok(Command::Submit(ClientSubmission::parse(words)?)),
+            (b"OUT.ADD", 5) => Ok(Command::Submit(ClientSubmission::parse(bulk_strings)?)),
             (b"PING" | b"QUIT" | b"OUT.ADD", _) => Err(CommandError::WrongNumberOfArguments),
             _ => Err(CommandError::UnknownCommand),
         }
     }
 }
 
-/// The line of an error reply.
+/// Formats the line of an error reply.
 pub(super) fn error_line(error: impl std::fmt::Display) -> String {
     format!("-ERR {error}\r\n")
 }
 
-/// The line that tells a client what became of its submission.
+/// Formats the line of the reply to a submission.
 pub(super) fn submission_reply_line(reply: &SubmissionReply) -> String {
     match reply {
         SubmissionReply::Accepted(_) => OK.to_string(),
--- a/crates/relay/src/clients/submission.rs
+++ b/crates/relay/src/clients/submission.rs
@@ -1,55 +1,56 @@
-//! What a request hands to the dispatcher: a message as its client submitted it, and the reply that comes back.
+//! Types passed between client connections and the dispatcher: a submitted message and the reply to it.
 
-use super::protocol::Words;
+use super::protocol::BulkStrings;
 use log::debug;
 use mountshift::interface::MessageId;
 use mountshift_spool::AcceptedMessage;
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Bytes of a message's body at most, as clients are promised.
+/// Maximum size of a message body in bytes, as guaranteed to clients.
 pub(super) const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A client sends a request once more within so long: it waits 0.4 s for an answer.
-const RESEND_WITHIN: Duration = Duration::from_millis(1_000);
-/// Bytes of a message id or an idempotency key at most: both go into a header of the call to the endpoint.
+/// Maximum difference between the remaining times to the deadline of a message and of its resent copy. Clients resend
+/// after 0.4 s without a reply.
+const RESEND_DEADLINE_TOLERANCE: Duration = Duration::from_millis(1_000);
+/// Maximum size in bytes of a message id or an idempotency key, both of which are sent in a header to the endpoint.
 const MAX_ID_BYTES: usize = 128;
 
 /// A message as a client submitted it.
 pub(crate) struct ClientSubmission {
-    /// The id that the client gave it.
+    /// Id assigned by the client.
     pub(crate) id: Vec<u8>,
-    /// Its ordering key; 0 for none.
+    /// Ordering key; 0 for none.
     pub(crate) key: u64,
-    /// The names and values that came with it, as they came: the spool keeps them like this.
+    /// Metadata list as received, which is also the form stored in the spool.
     pub(crate) metadata_text: String,
-    /// What they say.
+    /// Parsed metadata.
     pub(crate) metadata: SubmissionMetadata,
-    /// When it was read.
+    /// Time at which the request was parsed.
     pub(crate) received_at: Instant,
-    /// What the endpoint gets.
+    /// Body sent to the endpoint.
     pub(crate) body: Vec<u8>,
 }
 
-/// What the names and values of a submission say.
+/// Parsed metadata of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SubmissionMetadata {
-    /// The name of its message class.
+    /// Name of the message class.
     pub(crate) class: String,
-    /// Whose message it is, where that was told.
+    /// Name of the tenant, if given.
     pub(crate) tenant: Option<String>,
-    /// The number of its destination.
+    /// Number of the destination.
     pub(crate) destination: u32,
-    /// How long it may still be delivered.
+    /// Time from submission to the deadline for delivery.
     pub(crate) time_to_deadline: Duration,
-    /// By this the endpoint recognises a repeat.
+    /// Key by which the endpoint recognises a repeated message.
     pub(crate) idempotency_key: Option<String>,
 }
 
-/// Why a submission is not accepted and need not come again. The texts are part of the protocol with clients.
+/// Reasons for which a submission is refused and need not be repeated. The texts are part of the client protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum SubmissionError {
     #[error("five words wanted")]
-    WrongWordCount,
+    WrongArgumentCount,
     #[error("the id can't be read")]
     UnreadableId,
     #[error("the body is too large")]
@@ -70,39 +71,39 @@
     UnknownDestination,
     #[error("the id was used before")]
     IdAlreadyUsed,
-    /// The decisions ended the message as failed before it was accepted.
+    /// The message failed by a decision of the policy before it was accepted.
     #[error("failed")]
     Undeliverable,
 }
 
-/// What became of a submission.
+/// Reply to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SubmissionReply {
-    /// The relay is responsible for it from now on.
+    /// Accepted: the relay is now responsible for the message.
     Accepted(MessageId),
-    /// Not accepted, and safe to submit again after this many milliseconds; 0 where no wait is told.
+    /// Not accepted, and safe to submit again after the given milliseconds; 0 if no delay is given.
     Rejected { retry_after_ms: u64 },
-    /// Not accepted.
+    /// Not accepted, and not to be submitted again.
     Failed(SubmissionError),
 }
 
 impl ClientSubmission {
-    /// What was handed in under its id.
+    /// Returns the content that identifies the message in addition to its id.
     pub(crate) fn content(&self) -> MessageContent<'_> {
         MessageContent { key: self.key, metadata: &self.metadata, body: &self.body }
     }
 
-    /// True if this is the message that was accepted under its id, as far as its key and content tell.
+    /// Returns whether this submission repeats the accepted message of the same id, by key and content.
     pub(crate) fn is_same_as(&self, accepted: &AcceptedMessage) -> bool {
         is_accepted_content(accepted, &self.content())
     }
 
-    /// Reads the words of an `OUT.ADD` request.
-    pub(super) fn parse(words: Words) -> Result<ClientSubmission, SubmissionError> {
-        let Ok([_, key, id, metadata, body]) = <[Vec<u8>; 5]>::try_from(words) else {
-            return Err(SubmissionError::WrongWordCount);
+    /// Parses the bulk strings of an `OUT.ADD` request.
+    pub(super) fn parse(bulk_strings: BulkStrings) -> Result<ClientSubmission, SubmissionError> {
+        let Ok([_, key, id, metadata, body]) = <[Vec<u8>; 5]>::try_from(bulk_strings) else {
+            return Err(SubmissionError::WrongArgumentCount);
         };
-        // An id goes into a header as it is.
+        // The id is copied into a header without escaping.
         if id.is_empty() || id.len() > MAX_ID_BYTES || !id.iter().all(u8::is_ascii_graphic) {
             return Err(SubmissionError::UnreadableId);
         }
@@ -122,7 +123,8 @@
     }
 }
 
-/// What makes a message the same one when it comes again; its id alone does not, as another client may have used that.
+/// Content that identifies a repeated message. The id alone is not sufficient, because another client may have used
+/// the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MessageContent<'a> {
     pub(crate) key: u64,
@@ -131,8 +133,8 @@
 }
 
 impl MessageContent<'_> {
-    /// True for the same message. Each says how long it may still be delivered from now on: a request that comes once more
-    /// may have counted that again from its own beginning.
+    /// Returns whether both are the same message. The times to the deadline may differ slightly, because a client that
+    /// resends a request may compute the remaining time anew.
     pub(crate) fn is_same(&self, other: &MessageContent<'_>) -> bool {
         let (own, others) = (self.metadata, other.metadata);
         self.key == other.key
@@ -141,11 +143,11 @@
             && own.tenant == others.tenant
             && own.destination == others.destination
             && own.idempotency_key == others.idempotency_key
-            && own.time_to_deadline.abs_diff(others.time_to_deadline) <= RESEND_WITHIN
+            && own.time_to_deadline.abs_diff(others.time_to_deadline) <= RESEND_DEADLINE_TOLERANCE
     }
 }
 
-/// True if two accepted messages of one id are the same message.
+/// Returns whether two accepted messages with the same id are the same message.
 pub(crate) fn is_same_message(one: &AcceptedMessage, other: &AcceptedMessage) -> bool {
     SubmissionMetadata::parse(&other.metadata).is_ok_and(|metadata| {
         let content = MessageContent { key: other.key, metadata: &metadata, body: &other.body };
@@ -161,7 +163,7 @@
 }
 
 impl SubmissionMetadata {
-    /// Reads the list of names and values of a submission; unknown names are ignored.
+    /// Parses the metadata list of a submission, for example `c=any,d=8000,dest=7`; unknown names are ignored.
     pub(crate) fn parse(text: &str) -> Result<SubmissionMetadata, SubmissionError> {
         let class = field(text, "c").ok_or(SubmissionError::MissingClass)?;
         let destination = number_field(text, "dest").ok_or(SubmissionError::MissingDestination)?;
@@ -176,7 +178,7 @@
     }
 }
 
-/// The first value of a name in a list like `c=any,d=8000`.
+/// Returns the first value of a name in a list such as `c=any,d=8000`.
 fn field<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     text.split(',').filter_map(|pair| pair.split_once('=')).find(|pair| pair.0 == name).map(|pair| pair.1)
 }
@@ -185,7 +187,7 @@
     field(text, name)?.parse().ok()
 }
 
-/// True for a value that can go into a header as it is.
+/// Returns whether a value can be sent in a header without escaping.
 fn fits_header(value: &str) -> bool {
     value.len() <= MAX_ID_BYTES && value.bytes().all(|byte| byte.is_ascii_graphic())
 }
--- a/crates/relay/src/clients/tests.rs
+++ b/crates/relay/src/clients/tests.rs
@@ -1,4 +1,4 @@
-//! Client connections against a host that the test plays.
+//! Tests of client connections with a simulated dispatcher.
 
 use super::connection::*;
 use super::submission::*;
@@ -11,7 +11,7 @@
 
 const ADD: &str = "*5\r\n$7\r\nOUT.ADD\r\n$1\r\n0\r\n$2\r\nm1\r\n$19\r\nc=any,d=9000,dest=7\r\n$1\r\nx\r\n";
 
-/// A client service whose dispatcher is the test: what was submitted waits there for its reply.
+/// A client service without a dispatcher: the test receives the submissions and sends the replies.
 struct Fixture {
     service: Rc<ClientService>,
     submitted: Receiver<Sender<SubmissionReply>>,
@@ -23,7 +23,7 @@
 
 impl Drop for Fixture {
     fn drop(&mut self) {
-        // Whatever a test plays, no connection is closed owing an answer.
+        // In no test may the relay close a connection with unanswered requests.
         if !std::thread::panicking() {
             assert_eq!(self.violations.total(), 0);
         }
@@ -53,174 +53,178 @@
     Fixture { service: Rc::new(service), submitted, ending: end, stopping: stop, withdrawn, violations }
 }
 
-/// Runs a test on the executor, ten seconds at most.
+/// Runs a test on the executor; panics after ten seconds.
 fn run_test(executor: &LocalExecutor<'_>, test: impl Future<Output = ()>) {
-    let late = async {
+    let timeout = async {
         Timer::after(Duration::from_secs(10)).await;
-        panic!("not over in time");
+        panic!("test timed out");
     };
-    async_io::block_on(executor.run(test.or(late)));
+    async_io::block_on(executor.run(test.or(timeout)));
 }
 
-/// The client's end of a connection that the service serves; the client has written `said` by then.
-async fn connected(fixture: &Fixture, said: &str, executor: &Rc<LocalExecutor<'static>>) -> Async<TcpStream> {
+/// Starts the service and returns the client side of a connection to it, on which `input` is already written.
+async fn connect(fixture: &Fixture, input: &str, executor: &Rc<LocalExecutor<'static>>) -> Async<TcpStream> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let at = listener.get_ref().local_addr().expect("an address");
-    let far = Async::<TcpStream>::connect(at).await.expect("a connection");
-    far.get_ref().write_all(said.as_bytes()).expect("written");
+    let client = Async::<TcpStream>::connect(at).await.expect("a connection");
+    client.get_ref().write_all(input.as_bytes()).expect("written");
     executor.spawn(serve(listener, fixture.service.clone(), executor.clone())).detach();
-    far
+    client
 }
 
-async fn heard(far: &mut Async<TcpStream>) -> String {
+/// Reads until the connection ends.
+async fn read_all(client: &mut Async<TcpStream>) -> String {
     let mut text = String::new();
-    let _ = futures_lite::AsyncReadExt::read_to_string(far, &mut text).await;
+    let _ = futures_lite::AsyncReadExt::read_to_string(client, &mut text).await;
     text
 }
 
-// The process ends while requests that were read wait behind others for their turn: they must get an answer, as whoever
-// wrote them whole takes them for lost.
+// Requests that are still in the buffer when the process exits must get a reply: without one, the client that sent them
+// counts them as lost.
 #[test]
-fn requests_read_but_not_submitted_when_the_process_ends_are_rejected() {
+fn buffered_requests_are_rejected_when_the_process_exits() {
     let (fixture, executor) = (fixture(), Rc::new(LocalExecutor::new()));
     run_test(&executor, async {
-        let mut far = connected(&fixture, &ADD.repeat(MAX_REQUESTS_PER_TURN + 8), &executor).await;
+        let mut client = connect(&fixture, &ADD.repeat(MAX_REQUESTS_PER_TURN + 8), &executor).await;
         let mut waiting = Vec::new();
         for _ in 0..MAX_REQUESTS_PER_TURN {
             waiting.push(fixture.submitted.recv().await.expect("a message"));
         }
-        // The rest is read by now; the process ends before the first ones have their answers.
+        // The rest is in the buffer; the process exits before the first ones get their replies.
         fixture.ending.close();
         for answer in &waiting {
             answer.try_send(SubmissionReply::Accepted(MessageId(1))).expect("waited for");
         }
-        assert_eq!(heard(&mut far).await, "+OK\r\n".repeat(MAX_REQUESTS_PER_TURN) + &"-BUSY\r\n".repeat(8));
+        assert_eq!(
+            read_all(&mut client).await,
+            "+OK\r\n".repeat(MAX_REQUESTS_PER_TURN) + &"-BUSY\r\n".repeat(8)
+        );
         assert!(fixture.submitted.is_empty(), "nothing more is submitted");
-        assert!(fixture.withdrawn.borrow().is_empty(), "what was heard is not withdrawn");
+        assert!(fixture.withdrawn.borrow().is_empty(), "answered messages are not withdrawn");
     });
 }
 
-// The process ends in the middle of a request: its client would wait for an answer to what was read in part, and find the
-// connection reset as it sends the rest.
+// Without a reply to an incomplete request when the process exits, the client would send the rest and get a connection
+// reset.
 #[test]
-fn a_request_read_in_part_when_the_process_ends_is_rejected() {
+fn incomplete_request_is_rejected_when_the_process_exits() {
     let (fixture, executor) = (fixture(), Rc::new(LocalExecutor::new()));
     run_test(&executor, async {
         let (first, rest) = ADD.split_at(ADD.len() / 2);
-        let mut far = connected(&fixture, first, &executor).await;
+        let mut client = connect(&fixture, first, &executor).await;
         while fixture.service.buffered_bytes() == 0 {
             futures_lite::future::yield_now().await;
         }
         fixture.ending.close();
-        expect_rejection_and_send(&mut far, rest).await;
+        expect_rejection_and_send(&mut client, rest).await;
         assert!(fixture.submitted.is_empty(), "nothing is submitted");
     });
 }
 
-// The first request of a connection comes in the very moment in which the process ends: who opens a connection does not ask
-// again on another one.
+// The first request on a new connection arrives while the process exits. It must get a reply, because the client does
+// not repeat it on another connection.
 #[test]
-fn a_first_request_that_comes_as_the_process_ends_is_rejected() {
+fn first_request_during_process_exit_is_rejected() {
     let (fixture, executor) = (fixture(), Rc::new(LocalExecutor::new()));
     run_test(&executor, async {
         fixture.ending.close();
-        let mut far = connected(&fixture, ADD, &executor).await;
-        assert_eq!(heard(&mut far).await, "-BUSY\r\n");
+        let mut client = connect(&fixture, ADD, &executor).await;
+        assert_eq!(read_all(&mut client).await, "-BUSY\r\n");
         assert!(fixture.submitted.is_empty(), "nothing is submitted");
     });
 }
 
-// A client may end its sending behind its request: it hears that it is to come again, and nothing is taken on, as
-// one that has gone altogether looks the same.
+// A client that closes its sending direction after a request looks the same as one that closed the connection entirely.
+// The request is rejected and not submitted.
 #[test]
-fn a_client_that_half_closes_its_connection_gets_a_rejection() {
+fn half_closed_connection_gets_a_rejection() {
     let (fixture, executor) = (fixture(), Rc::new(LocalExecutor::new()));
     run_test(&executor, async {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port");
-        let far = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
-        (&far).write_all(ADD.as_bytes()).expect("written");
-        far.shutdown(Shutdown::Write).expect("half closed");
+        let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+        (&client).write_all(ADD.as_bytes()).expect("written");
+        client.shutdown(Shutdown::Write).expect("half closed");
         let listener = Async::new(listener).expect("a listener");
         executor.spawn(serve(listener, fixture.service.clone(), executor.clone())).detach();
-        let mut far = Async::new(far).expect("a stream");
-        assert_eq!(heard(&mut far).await, "-BUSY\r\n");
+        let mut client = Async::new(client).expect("a stream");
+        assert_eq!(read_all(&mut client).await, "-BUSY\r\n");
         assert!(fixture.submitted.is_empty(), "nothing is submitted");
     });
 }
 
-// One that is turned away as there is no room hears so, though its request was not read: a close over unread bytes
-// resets the connection.
+// Closing a rejected connection with unread input would reset it, and the client would not get the rejection.
 #[test]
-fn a_connection_over_the_limit_gets_a_rejection_and_no_reset() {
+fn connection_over_the_limit_is_rejected_without_reset() {
     let (fixture, executor) = (fixture(), Rc::new(LocalExecutor::new()));
     fixture.service.config.open_connections.set(fixture.service.config.max_connections);
     run_test(&executor, async {
-        let mut far = connected(&fixture, ADD, &executor).await;
+        let mut client = connect(&fixture, ADD, &executor).await;
         let mut text = Vec::new();
-        let read = futures_lite::AsyncReadExt::read_to_end(&mut far, &mut text).await;
+        let read = futures_lite::AsyncReadExt::read_to_end(&mut client, &mut text).await;
         assert!(read.is_ok(), "not reset: {read:?}");
         assert_eq!(text, b"-BUSY\r\n");
     });
 }
 
-/// The client hears `-BUSY`, then sends the rest of its request in two pieces, and meets no reset.
-async fn expect_rejection_and_send(far: &mut Async<TcpStream>, rest: &str) {
+/// Expects `-BUSY`, then sends the rest of the request in two pieces and expects no reset.
+async fn expect_rejection_and_send(client: &mut Async<TcpStream>, rest: &str) {
     let mut reply = [0; 7];
-    futures_lite::AsyncReadExt::read_exact(far, &mut reply).await.expect("a reply");
+    futures_lite::AsyncReadExt::read_exact(client, &mut reply).await.expect("a reply");
     assert_eq!(&reply, b"-BUSY\r\n");
     for piece in [&rest[..2], &rest[2..]] {
-        far.get_ref().write_all(piece.as_bytes()).expect("taken");
+        client.get_ref().write_all(piece.as_bytes()).expect("taken");
     }
     let mut text = Vec::new();
-    let read = futures_lite::AsyncReadExt::read_to_end(far, &mut text).await;
+    let read = futures_lite::AsyncReadExt::read_to_end(client, &mut text).await;
     assert!(read.is_ok() && text.is_empty(), "not reset: {read:?}");
 }
 
-// The rest of its request may still be on its way: it must find the connection open, or a reset takes the reply away.
+// The rest of a request may arrive after the rejection. If the connection were closed by then, the reset would discard
+// the reply.
 #[test]
-fn a_connection_over_the_limit_may_still_send_the_rest_of_its_request() {
+fn rejected_connection_may_send_the_rest_of_its_request() {
     let (fixture, executor) = (fixture(), Rc::new(LocalExecutor::new()));
     fixture.service.config.open_connections.set(fixture.service.config.max_connections);
     run_test(&executor, async {
         let (first, rest) = ADD.split_at(ADD.len() / 2);
-        let mut far = connected(&fixture, first, &executor).await;
-        expect_rejection_and_send(&mut far, rest).await;
-        drop(far);
+        let mut client = connect(&fixture, first, &executor).await;
+        expect_rejection_and_send(&mut client, rest).await;
+        drop(client);
         while fixture.service.config.open_connections.get() > fixture.service.config.max_connections {
             futures_lite::future::yield_now().await;
         }
     });
 }
 
-// A place is needed while a request is half there: nobody has taken it on, so that it may come again.
+// A connection evicted during a request gets a rejection: the request was not submitted, so it may be repeated.
 #[test]
-fn a_request_cut_off_for_another_connection_is_rejected_and_may_end() {
+fn evicted_incomplete_request_is_rejected_without_reset() {
     let (fixture, executor) = (fixture(), Rc::new(LocalExecutor::new()));
     run_test(&executor, async {
         let (first, rest) = ADD.split_at(ADD.len() / 2);
-        let mut far = connected(&fixture, first, &executor).await;
+        let mut client = connect(&fixture, first, &executor).await;
         while !fixture.service.evict_oldest(Evictable::Buffering) {
             futures_lite::future::yield_now().await;
         }
-        expect_rejection_and_send(&mut far, rest).await;
+        expect_rejection_and_send(&mut client, rest).await;
         assert!(fixture.submitted.is_empty(), "nothing is submitted");
     });
 }
 
-/// Connections to the address that the kernel has established; both ends are on this machine, and only the server's is
-/// counted.
+/// Returns the number of connections to the address that the kernel has established. Both ends are on this machine;
+/// only the server's is counted.
 fn established_to(at: std::net::SocketAddr) -> usize {
     let std::net::SocketAddr::V4(at) = at else { return 0 };
     let own_address = format!("{:08X}:{:04X}", u32::from_le_bytes(at.ip().octets()), at.port());
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table");
     let rows = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-    // Its columns: number, own address, the other one, state; 01 is ESTABLISHED.
+    // Columns: number, local address, remote address, state; state 01 is ESTABLISHED.
     rows.filter(|columns| columns[1] == own_address && columns[3] == "01").count()
 }
 
-// Connections that wait in the kernel's queue when clients are sent away are served, also one whose request comes only
-// after the listener has closed: one closed without an answer counts against the relay. The tasks are polled by hand, so
-// that no delay of the machine comes between the late connection's first look for input and its request.
+// Connections in the kernel's accept queue when the relay stops are served, including one whose request arrives after
+// the listener has closed: a connection closed without a reply counts as a fault of the relay. The tasks are polled
+// manually, so that scheduling delays can't fall between the late connection's first check for input and its request.
 #[test]
 fn connections_queued_when_the_listener_closes_are_served() {
     let (fixture, executor) = (fixture(), Rc::new(LocalExecutor::new()));
@@ -236,7 +240,7 @@
     block_on(serve(listener, fixture.service.clone(), executor.clone()));
     assert!(TcpStream::connect(at).is_err(), "the listener is closed");
     assert_eq!(fixture.service.config.open_connections.get(), 2);
-    assert!(executor.try_tick() && executor.try_tick(), "each connection has looked for input once");
+    assert!(executor.try_tick() && executor.try_tick(), "each connection has checked for input once");
     (&late).write_all(ADD.as_bytes()).expect("written");
     run_test(&executor, async {
         for message in [1, 2] {
@@ -245,15 +249,15 @@
         }
         for stream in [early, late] {
             let mut stream = Async::new(stream).expect("a stream");
-            assert_eq!(heard(&mut stream).await, "+OK\r\n");
+            assert_eq!(read_all(&mut stream).await, "+OK\r\n");
         }
     });
 }
 
-/// Takes so many bytes, then breaks.
-struct Breaks(usize);
+/// A writer that accepts the given number of bytes, up to three per write, then fails.
+struct FailingWriter(usize);
 
-impl futures_lite::AsyncWrite for Breaks {
+impl futures_lite::AsyncWrite for FailingWriter {
     fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let n = bytes.len().min(self.0).min(3);
         self.0 -= n;
@@ -269,24 +273,24 @@
     }
 }
 
-// An answer that left whole stands, whatever comes after it; the others are taken back. A socket takes so few bytes
-// whole or not at all, so the writer here is one that does not.
+// A message stays accepted if its reply was written completely, even if a later write fails; the others are withdrawn.
+// A socket accepts this few bytes either completely or not at all, so the test uses a writer with partial writes.
 #[test]
-fn only_messages_whose_replies_did_not_leave_whole_are_withdrawn() {
+fn only_messages_with_incomplete_replies_are_withdrawn() {
     let accepted = [(5, 1), (10, 2), (15, 3)].map(|(end, id)| AcceptedReply { message: MessageId(id), end });
-    for (takes, back) in [(0, 3), (4, 3), (5, 2), (9, 2), (10, 1), (14, 1), (15, 0)] {
-        let (left, written) = block_on(write_in_time(&mut Breaks(takes), &[b'+'; 15]));
-        assert_eq!((15 - left, written.is_err()), (takes, takes < 15));
+    for (writable, withdrawn) in [(0, 3), (4, 3), (5, 2), (9, 2), (10, 1), (14, 1), (15, 0)] {
+        let (unwritten, result) = block_on(write_in_time(&mut FailingWriter(writable), &[b'+'; 15]));
+        assert_eq!((15 - unwritten, result.is_err()), (writable, writable < 15));
         assert_eq!(
-            unheard_messages(&accepted, 15 - left).collect::<Vec<_>>().len(),
-            back,
-            "{takes} bytes left"
+            messages_with_incomplete_reply(&accepted, 15 - unwritten).collect::<Vec<_>>().len(),
+            withdrawn,
+            "{writable} bytes written"
         );
     }
 }
 
-// A connection's task is kept for as long as the connection is open, and hundreds may be: a buffer of 64 KiB that lived
-// across an await made each of them as much larger.
+// Each open connection keeps its task, and hundreds may be open: a buffer of 64 KiB that lives across an await would
+// enlarge each of these tasks by that size.
 #[test]
 fn a_connection_task_holds_no_read_buffer() {
     const MAX_TASK_BYTES: usize = 8 * 1024;
