--- a/crates/relay/src/clock.rs
+++ b/crates/relay/src/clock.rs
@@ -5,7 +5,7 @@
 //! notes which Unix time belongs to which reading of the machine's monotonic clock ([`TimeAnchor`]); every later
 //! process of that boot goes by this note. After another boot, or without a note, the wall clock is all there is.
 
-use crate::startup::patience::Patience;
+use crate::startup::retry::RetryDeadlines;
 use log::error;
 use std::fmt;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -35,8 +35,8 @@
 impl ClockReading {
     /// Reads the clocks, again if the process was held up between two of them. A boot's id that can't be read for a
     /// moment is waited for: without it stored times would be dated anew.
-    pub(crate) async fn now(patience: &Patience) -> ClockReading {
-        let boot_id = patience.retry(|| std::fs::read_to_string(BOOT_ID_FILE)).await;
+    pub(crate) async fn now(retry_deadlines: &RetryDeadlines) -> ClockReading {
+        let boot_id = retry_deadlines.retry_optional(|| std::fs::read_to_string(BOOT_ID_FILE)).await;
         if let Err(e) = &boot_id {
             error!("{BOOT_ID_FILE}: {e}; stored times count by the wall clock");
         }
--- a/crates/relay/src/clock/tests.rs
+++ b/crates/relay/src/clock/tests.rs
@@ -13,7 +13,7 @@
 }
 
 fn stored_time_now() -> StoredTime {
-    let reading = block_on(ClockReading::now(&Patience::of_start()));
+    let reading = block_on(ClockReading::now(&RetryDeadlines::from_now()));
     StoredTime::new(&TimeAnchor::new(&reading), &reading)
 }
 
@@ -75,8 +75,8 @@
 
 #[test]
 fn all_processes_read_one_monotonic_clock() {
-    let first = block_on(ClockReading::now(&Patience::of_start()));
-    let second = block_on(ClockReading::now(&Patience::of_start()));
+    let first = block_on(ClockReading::now(&RetryDeadlines::from_now()));
+    let second = block_on(ClockReading::now(&RetryDeadlines::from_now()));
     let by_instant = second.instant - first.instant;
     let by_reading = second.monotonic - first.monotonic;
     assert!(by_reading.abs_diff(by_instant) <= READING_TOLERANCE * 2, "{by_reading:?} {by_instant:?}");
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -35,8 +35,8 @@
 use signals::StartSignals;
 use startup::config::StartConfig;
 use startup::listener::{admin_listener, client_listener};
-use startup::opening::open_beside_clients;
-use startup::patience::Patience;
+use startup::opening::await_while_serving;
+use startup::retry::RetryDeadlines;
 use startup::spool::{ActiveSpool, SuccessorSpool, open_spool};
 use startup::state_dir::StateDir;
 use startup::tasks::{Listeners, RelayTasks};
@@ -67,12 +67,12 @@
 }
 
 async fn start_and_run(executor: Rc<LocalExecutor<'static>>) -> Result<(), StartError> {
-    let patience = Patience::of_start();
+    let retry_deadlines = RetryDeadlines::from_now();
     // Before all else: a signal that comes during the start must not end the process.
-    let signals = patience.retry_essential(StartSignals::subscribe).await;
-    let config = StartConfig::from_environment(&patience).await?;
+    let signals = retry_deadlines.retry_required(StartSignals::subscribe).await;
+    let config = StartConfig::from_environment(&retry_deadlines).await?;
     let mut signals = signals.map_err(StartError::Signals)?;
-    let prepared = async { Some(prepare(config, executor, &patience).await) };
+    let prepared = async { Some(prepare(config, executor, &retry_deadlines).await) };
     let stopped = async {
         signals.stop_requested().await;
         None
@@ -99,10 +99,10 @@
 async fn prepare(
     config: StartConfig,
     executor: Rc<LocalExecutor<'static>>,
-    patience: &Patience,
+    retry_deadlines: &RetryDeadlines,
 ) -> Result<Start, StartError> {
-    let clients = client_listener(&config, patience).await?;
-    let state_dir = StateDir::open(&config.state_dir, patience).await?;
+    let clients = client_listener(&config, retry_deadlines).await?;
+    let state_dir = StateDir::open(&config.state_dir, retry_deadlines).await?;
     info!("{} starts as {:?}", config.name, state_dir.role);
     let initial_list = discovery::parse_list(&config.initial_list, config.discovery);
     if initial_list.is_none() {
@@ -110,11 +110,11 @@
     }
     let files = StateFiles::new(&config);
     let stored_time = match state_dir.role {
-        Role::Active(_) => files.stored_time(patience).await,
-        Role::Successor => files.stored_time_beside_active(patience).await,
+        Role::Active(_) => files.stored_time(retry_deadlines).await,
+        Role::Successor => files.stored_time_as_successor(retry_deadlines).await,
     };
-    let maintenance = restore_maintenance(&files, initial_list.as_ref(), patience).await;
-    let admin = admin_listener(&config, patience).await?;
+    let maintenance = restore_maintenance(&files, initial_list.as_ref(), retry_deadlines).await;
+    let admin = admin_listener(&config, retry_deadlines).await?;
     let tasks = RelayTasks::new(executor, maintenance);
     let listeners = Listeners { clients, admin };
     Ok(Start { config, state_dir, files, stored_time, initial_list, tasks, listeners })
@@ -124,9 +124,9 @@
 async fn restore_maintenance(
     files: &StateFiles,
     initial_list: Option<&EndpointList>,
-    patience: &Patience,
+    retry_deadlines: &RetryDeadlines,
 ) -> MaintenanceState {
-    let mut maintenance = MaintenanceState::from_text(&files.read_maintenance(patience).await);
+    let mut maintenance = MaintenanceState::from_text(&files.read_maintenance(retry_deadlines).await);
     for entry in initial_list.iter().flat_map(|list| &list.entries) {
         maintenance.record_listed_endpoint(&entry.id);
     }
@@ -141,16 +141,16 @@
 }
 
 /// Reads what the process before left beside the spool; what no longer counts is removed.
-async fn read_earlier_state(files: &StateFiles, role: Role, process_before: Option<&str>) -> EarlierState {
-    let patience = Patience::of_start();
+async fn read_earlier_state(files: &StateFiles, role: Role, previous_process: Option<&str>) -> EarlierState {
+    let retry_deadlines = RetryDeadlines::from_now();
     files.discard_handover_marker();
     let snapshot = if mountshift_handover::reads_snapshot(role) {
-        files.read_snapshot(process_before, &patience).await
+        files.read_snapshot(previous_process, &retry_deadlines).await
     } else {
         files.discard_snapshot();
         None
     };
-    EarlierState { snapshot, drain_record: files.read_drain_record(&patience).await }
+    EarlierState { snapshot, drain_record: files.read_drain_record(&retry_deadlines).await }
 }
 
 /// Serves clients at once, and dispatches once this process is the active one.
@@ -160,14 +160,14 @@
     tasks.maintenance.borrow_mut().set_serving();
     info!("ready on {}", config.listen);
     let opened = open_spool(&config, &state_dir, &files, stored_time, &tasks).await?;
-    let Some(ActiveSpool { spool, mut deferred_events, stored_time, process_before }) = opened else {
+    let Some(ActiveSpool { spool, mut deferred_events, stored_time, previous_process }) = opened else {
         return Ok(());
     };
     state_dir.release_successor_lock();
     let successor_spool = SuccessorSpool::new(&config, &state_dir);
-    let process_before = process_before.as_deref();
-    let reading = async { Ok(read_earlier_state(&files, state_dir.role, process_before).await) };
-    let earlier = open_beside_clients(&tasks, &mut deferred_events, reading).await?;
+    let previous_process = previous_process.as_deref();
+    let reading = async { Ok(read_earlier_state(&files, state_dir.role, previous_process).await) };
+    let earlier = await_while_serving(&tasks, &mut deferred_events, reading).await?;
     let Some(EarlierState { snapshot, drain_record }) = earlier else { return Ok(()) };
     tasks.is_active.set(true);
     info!("{} starts with {} messages in its spool", config.name, spool.messages().len());
@@ -184,8 +184,8 @@
         client_connections: tasks.client_connections.clone(),
         metrics: tasks.metrics.clone(),
         violations: tasks.violations.clone(),
-        clients_leave: tasks.clients_leave.1.clone(),
-        clients_end: tasks.clients_end.0.clone(),
+        clients_leave: tasks.clients_stopping.1.clone(),
+        clients_end: tasks.clients_ending.0.clone(),
         maintenance: tasks.maintenance.clone(),
         snapshot,
         drain_record,
@@ -193,7 +193,7 @@
         successor_spool,
         files,
     });
-    deferred_events.put_back(&tasks.events);
+    deferred_events.requeue(&tasks.events);
     dispatcher.run().await;
     Ok(())
 }
--- a/crates/relay/src/signals.rs
+++ b/crates/relay/src/signals.rs
@@ -58,7 +58,7 @@
     pub(crate) discovery_moves: Vec<Sender<SocketAddr>>,
     pub(crate) events: Sender<Event>,
     /// Closed when client connections are to go.
-    pub(crate) clients_leave: Sender<()>,
+    pub(crate) clients_stopping: Sender<()>,
     /// True once this process is the active one: only that one hands over.
     pub(crate) is_active: Rc<Cell<bool>>,
     /// Where a successor holds its lock.
@@ -115,7 +115,7 @@
     /// A file that can't be read as a whole may be so for a moment: the system is short of something, or it is being
     /// written.
     fn on_reload_failed(&mut self, error: &ConfigError) {
-        if !error.may_pass_at_reload() {
+        if !error.is_retryable_at_reload() {
             self.reload_pending_since = None;
             return error!("the new configuration is not used: {error}");
         }
@@ -158,10 +158,10 @@
         let how = if plan.is_handover { "with a process beside it" } else { "for a restart" };
         info!("told to stop, {how}");
         let _ = self.events.send(Event::StopRequested(plan)).await;
-        let clients_leave = self.clients_leave.clone();
+        let clients_stopping = self.clients_stopping.clone();
         let leave_later = async move {
             Timer::after(plan.accept_duration).await;
-            clients_leave.close();
+            clients_stopping.close();
         };
         self.executor.spawn(leave_later).detach();
     }
--- a/crates/relay/src/startup/config.rs
+++ b/crates/relay/src/startup/config.rs
@@ -1,6 +1,6 @@
-//! The configuration of a relay: a JSON file, and environment variables that take precedence over it.
+//! Configuration of a relay: a JSON file, and environment variables that take precedence over it.
 
-use super::patience::{MayPass, Patience};
+use super::retry::{RetryDeadlines, Retryable};
 use mountshift::interface::PolicySettings;
 use mountshift_settings::{FlatSettings, SocketSettings};
 use serde_json::Value;
@@ -8,112 +8,115 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The variable that names the configuration file.
+/// Variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
-/// The variable that names the state folder.
+/// Variable with the path of the state folder.
 const STATE_VARIABLE: &str = "NODE_STATE";
-/// The variable that names the inherited listening socket.
+/// Variable with the descriptor of the inherited listening socket.
 const LISTENER_VARIABLE: &str = "NODE_ACCEPT_FD";
-/// The variable that names discovery's address; a reload does not read it.
+/// Variable with the address of discovery; ignored by a reload.
 const DISCOVERY_VARIABLE: &str = "NODE_DISCOVERY";
-/// The variable that names the operators' address.
+/// Variable with the listening address for operators.
 const ADMIN_VARIABLE: &str = "NODE_MGMT";
 
-/// The limits in the file count in these.
+/// Unit of the memory and disk limits in the file.
 const BYTES_PER_MB: f64 = 1e6;
-/// Without a limit on disk: so much that no sum of sizes overflows.
+/// Disk limit if none is configured; small enough that sums of sizes do not overflow.
 const DEFAULT_DISK_BYTES: u64 = u64::MAX / 4;
-/// Without a limit on descriptors: what a process usually has.
+/// Descriptor limit if none is configured: the usual limit of a process.
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// Without a limit on memory: what the smallest site gives a relay.
+/// Memory limit if none is configured: the limit of a relay on the smallest site.
 const DEFAULT_MEMORY_BYTES: usize = 192_000_000;
-/// Descriptors up to this one are the standard streams and can't be a listening socket.
+/// Highest descriptor of the standard streams, which can't be listening sockets.
 const LAST_STANDARD_STREAM: i32 = 2;
 
-/// Why the configuration can't be used.
+/// Error in the configuration.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConfigError {
-    /// A variable that has no counterpart in the file.
+    /// A variable without a counterpart in the file is missing.
     #[error("{variable} is not set")]
     MissingVariable { variable: &'static str },
     /// The file can't be read.
-    #[error("{path}: {source}")]
+    #[error("{path}: can't be read: {source}")]
     Read { path: String, source: io::Error },
-    /// The file is no JSON.
-    #[error("{path}: {source}")]
+    /// The file is not valid JSON.
+    #[error("{path}: invalid JSON: {source}")]
     Json { path: String, source: serde_json::Error },
-    /// Neither the variable nor the file has it.
-    #[error("{variable} is not set and {path} has no text {field}")]
+    /// Neither the variable nor the text field of the file is set.
+    #[error("{variable} is not set and {path} has no text field {field}")]
     MissingText { variable: &'static str, path: String, field: &'static str },
-    /// An address that is none.
-    #[error("{field}: {text} is no address with a port")]
+    /// An address can't be parsed.
+    #[error("{field}: {text} is not an IP address with a port")]
     BadAddress { field: &'static str, text: String },
     /// The file has no seed.
     #[error("{path}: seed is missing")]
     MissingSeed { path: String },
-    /// The seed is no hexadecimal number.
-    #[error("{path}: seed {seed} is not hexadecimal")]
+    /// The seed is not a hexadecimal number.
+    #[error("{path}: seed {seed} is not a hexadecimal number of up to 64 bits")]
     BadSeed { path: String, seed: String },
-    /// A limit that is no positive number.
-    #[error("limits.{field}: {value} is no amount")]
+    /// A limit is not a positive number.
+    #[error("limits.{field}: {value} is not a positive number")]
     BadLimit { field: &'static str, value: Value },
-    /// The inherited listening socket is no descriptor.
-    #[error("NODE_ACCEPT_FD: {text} is no descriptor")]
+    /// The descriptor of the inherited listening socket is invalid.
+    #[error("NODE_ACCEPT_FD: {text} is not a valid descriptor")]
     BadDescriptor { text: String },
-    /// The settings object can't be used.
+    /// The settings object is invalid.
     #[error("{path}: {reason}")]
     Settings { path: String, reason: String },
 }
 
-impl MayPass for ConfigError {
-    fn may_pass(&self) -> bool {
-        matches!(self, ConfigError::Read { source, .. } if source.may_pass())
+impl Retryable for ConfigError {
+    fn is_retryable(&self) -> bool {
+        matches!(self, ConfigError::Read { source, .. } if source.is_retryable())
     }
 }
 
 impl ConfigError {
-    /// True if the file may be whole a moment later: it can't be read, or it is being written.
-    pub(crate) fn may_pass_at_reload(&self) -> bool {
+    /// Returns whether a reload may succeed a moment later: the file can't be read, or is incomplete because it is
+    /// being written.
+    pub(crate) fn is_retryable_at_reload(&self) -> bool {
         matches!(self, ConfigError::Read { .. } | ConfigError::Json { .. })
     }
 }
 
-/// What a relay is configured with, fixed at startup.
+/// Configuration of a relay, fixed at startup.
 #[derive(Debug)]
 pub(crate) struct StartConfig {
-    /// The relay's name in log lines.
+    /// Name of the relay in log lines.
     pub(crate) name: String,
-    /// The clients' address.
+    /// Listening address for clients.
     pub(crate) listen: SocketAddr,
-    /// The operators' address; older configurations have none.
+    /// Listening address for operators; older configurations have none.
     pub(crate) admin_listen: Option<SocketAddr>,
-    /// The clients' listening socket where the platform holds it and the relay inherits it; else the relay binds it.
+    /// Descriptor of the listening socket for clients, if it is inherited from the platform.
     pub(crate) inherited_listener: Option<i32>,
-    /// Where endpoint lists are asked for and notifications go.
+    /// Address of discovery, which serves endpoint lists and receives notifications.
     pub(crate) discovery: SocketAddr,
-    /// The state folder.
+    /// Path of the state folder.
     pub(crate) state_dir: PathBuf,
-    /// Bytes that the state folder may hold.
+    /// Maximum size of the state folder in bytes.
     pub(crate) disk_bytes: u64,
-    /// Descriptors that the process may hold.
+    /// Maximum number of open descriptors of the process.
     pub(crate) max_descriptors: usize,
-    /// Bytes of memory that the process may take.
+    /// Maximum memory of the process in bytes.
     pub(crate) memory_bytes: usize,
-    /// The endpoint list to begin with, as the file has it.
+    /// Initial endpoint list, as in the file.
     pub(crate) initial_list: Value,
-    /// The settings of the decisions.
+    /// Settings of the policy.
     pub(crate) policy_settings: PolicySettings,
-    /// The settings of the sockets.
+    /// Settings of the socket I/O: names, timeouts and the reported rate limit.
     pub(crate) socket_settings: SocketSettings,
 }
 
 impl StartConfig {
-    /// Reads the configuration that the environment names.
-    pub(crate) async fn from_environment(patience: &Patience) -> Result<StartConfig, ConfigError> {
-        patience.retry_essential(|| StartConfig::read(|name| std::env::var(name).ok())).await
+    /// Reads the configuration named by the environment; retries temporary errors.
+    pub(crate) async fn from_environment(
+        retry_deadlines: &RetryDeadlines,
+    ) -> Result<StartConfig, ConfigError> {
+        retry_deadlines.retry_required(|| StartConfig::read(|name| std::env::var(name).ok())).await
     }
 
-    /// Reads the file named by `NODE_CONFIG`; `variable` looks up the environment.
+    /// Reads the file named by `NODE_CONFIG`; `variable` looks up an environment variable.
     fn read(variable: impl Fn(&str) -> Option<String>) -> Result<StartConfig, ConfigError> {
         let source = ConfigSource::open(variable)?;
         let state_dir = source.required_variable(STATE_VARIABLE)?;
@@ -142,19 +145,19 @@
         })
     }
 
-    /// A share of the bytes that the state folder may hold.
+    /// Returns a share of the disk limit in bytes.
     pub(crate) fn disk_share(&self, share: f64) -> u64 {
         (self.disk_bytes as f64 * share) as u64
     }
 }
 
-/// Where discovery is from now on, by the file alone; all of the file must be usable.
+/// Returns the address of discovery from the file, without its environment variable. The whole file must be valid.
 pub(crate) fn reload_discovery() -> Result<SocketAddr, ConfigError> {
     let variable = |name: &str| std::env::var(name).ok().filter(|_| name != DISCOVERY_VARIABLE);
     StartConfig::read(variable).map(|config| config.discovery)
 }
 
-/// The file, and the variables that take precedence over it.
+/// The parsed file, and the variables that take precedence over it.
 struct ConfigSource<V> {
     path: String,
     json: Value,
@@ -186,8 +189,8 @@
         text.parse().map_err(|_| ConfigError::BadAddress { field, text })
     }
 
-    /// A field that is there but holds no text is an error: taken for none, the relay would start without the
-    /// address that its operators rely on.
+    /// Returns the listening address for operators, if configured. A field that is not text is an error: if it were
+    /// ignored, the relay would start without an address that operators rely on.
     fn admin_address(&self) -> Result<Option<SocketAddr>, ConfigError> {
         let field = "mgmt";
         if (self.variable)(ADMIN_VARIABLE).is_none() && self.json[field].is_null() {
@@ -196,8 +199,8 @@
         self.address(ADMIN_VARIABLE, field).map(Some)
     }
 
-    /// A value that can't be a descriptor is an error: taken for none, the relay would bind an address that the
-    /// platform does not route to.
+    /// Returns the inherited descriptor, if configured. An invalid value is an error: if it were ignored, the relay
+    /// would bind an address that the platform does not route to.
     fn inherited_listener(&self) -> Result<Option<i32>, ConfigError> {
         let Some(text) = (self.variable)(LISTENER_VARIABLE) else { return Ok(None) };
         match text.trim().parse::<i32>() {
@@ -214,7 +217,7 @@
             .map_err(|_| ConfigError::BadSeed { path: self.path.clone(), seed: seed.to_string() })
     }
 
-    /// A positive number, where the file has the limit.
+    /// Returns a limit of the file, if set; it must be a positive number.
     fn limit(&self, field: &'static str) -> Result<Option<f64>, ConfigError> {
         let value = &self.json["limits"][field];
         if value.is_null() {
--- a/crates/relay/src/startup/listener.rs
+++ b/crates/relay/src/startup/listener.rs
@@ -1,35 +1,35 @@
-//! The listening sockets: the clients' and the operators'.
+//! Listening sockets for clients and for operators.
 
 use super::config::StartConfig;
-use super::patience::Patience;
+use super::retry::RetryDeadlines;
 use crate::error::StartError;
 use async_io::Async;
 use log::info;
 use std::net::TcpListener;
 
-/// Inherits the clients' listening socket from the platform where the configuration names it, or binds it.
+/// Returns the listening socket for clients: inherited from the platform if configured so, otherwise bound here.
 pub(crate) async fn client_listener(
     config: &StartConfig,
-    patience: &Patience,
+    retry_deadlines: &RetryDeadlines,
 ) -> Result<Async<TcpListener>, StartError> {
     match config.inherited_listener {
         Some(descriptor) => inherit(descriptor),
-        None => patience
-            .retry_essential(|| Async::<TcpListener>::bind(config.listen))
+        None => retry_deadlines
+            .retry_required(|| Async::<TcpListener>::bind(config.listen))
             .await
             .map_err(|source| StartError::Listen { address: config.listen, source }),
     }
 }
 
-/// Binds the operators' address, where there is one.
+/// Binds the address for operators, if configured.
 pub(crate) async fn admin_listener(
     config: &StartConfig,
-    patience: &Patience,
+    retry_deadlines: &RetryDeadlines,
 ) -> Result<Option<Async<TcpListener>>, StartError> {
     let Some(address) = config.admin_listen else { return Ok(None) };
-    let listener = patience.retry_essential(|| Async::<TcpListener>::bind(address)).await;
+    let listener = retry_deadlines.retry_required(|| Async::<TcpListener>::bind(address)).await;
     let listener = listener.map_err(|source| StartError::AdminListen { address, source })?;
-    info!("operators' calls on {address}");
+    info!("mgmt: listening for operators on {address}");
     Ok(Some(listener))
 }
 
--- a/crates/relay/src/startup/opening.rs
+++ b/crates/relay/src/startup/opening.rs
@@ -1,5 +1,4 @@
-//! The time in which a process already answers clients and does not have its spool yet. It is short, unless the state
-//! folder fails for a while.
+//! Serving clients while the spool is not open yet. This phase is short unless access to the state folder fails.
 
 use super::tasks::RelayTasks;
 use crate::clients::SubmissionReply;
@@ -13,7 +12,7 @@
 use mountshift_handover::SPOOL_OPEN_TIMEOUT;
 use std::time::Instant;
 
-/// Events that came before there was a dispatcher, in order.
+/// Events received before the dispatcher runs, in order.
 #[derive(Default)]
 pub(crate) struct DeferredEvents(Vec<Event>);
 
@@ -22,19 +21,19 @@
         self.0.push(event);
     }
 
-    /// Puts them back, in front of all that came since: an older list of endpoints must not follow a newer one.
-    pub(crate) fn put_back(self, events: &(Sender<Event>, Receiver<Event>)) {
-        send_first(events, self.0);
+    /// Returns the events to the front of the channel, because an older endpoint list must not follow a newer one.
+    pub(crate) fn requeue(self, events: &(Sender<Event>, Receiver<Event>)) {
+        prepend(events, self.0);
     }
 
-    /// Rejects the messages among them, which nobody has accepted.
-    fn reject_messages(&mut self) {
-        self.0.retain(|event| !reject_if_message(event));
+    /// Rejects and removes the submissions among the events, none of which is accepted.
+    fn reject_submissions(&mut self) {
+        self.0.retain(|event| !reject_submission(event));
     }
 }
 
-/// Sends these in front of all that the channel holds.
-fn send_first<T>((sender, receiver): &(Sender<T>, Receiver<T>), first: Vec<T>) {
+/// Inserts items in front of those in the channel.
+fn prepend<T>((sender, receiver): &(Sender<T>, Receiver<T>), first: Vec<T>) {
     let mut later = Vec::new();
     while let Ok(item) = receiver.try_recv() {
         later.push(item);
@@ -44,36 +43,37 @@
     }
 }
 
-/// True if the event was a message, which is rejected now.
-fn reject_if_message(event: &Event) -> bool {
+/// Rejects the submission if the event is one; returns whether it was.
+fn reject_submission(event: &Event) -> bool {
     let Event::MessageReceived { reply_to, .. } = event else { return false };
     let _ = reply_to.try_send(SubmissionReply::Rejected { retry_after_ms: 0 });
     true
 }
 
-/// Waits for something that needs the state folder, while clients are answered. None if the process was told to stop
-/// and it is time to end.
+/// Awaits an operation on the state folder while clients are served. Returns `None` if the process was stopped before
+/// the operation completed.
 ///
 /// # Errors
-/// As what is waited for.
-pub(crate) async fn open_beside_clients<T>(
+/// The error of the operation.
+pub(crate) async fn await_while_serving<T>(
     tasks: &RelayTasks,
     deferred: &mut DeferredEvents,
     opening: impl Future<Output = Result<T, StartError>>,
 ) -> Result<Option<T>, StartError> {
     let opened = async { Some(opening.await) };
-    let leaving = async {
+    let stopping = async {
         collect_events(tasks, deferred).await;
         None
     };
-    if let Some(result) = opened.or(leaving).await {
+    if let Some(result) = opened.or(stopping).await {
         return result.map(Some);
     }
     finish(tasks).await;
     Ok(None)
 }
 
-/// Collects events until clients are to go. Messages that waited too long are rejected.
+/// Collects events until the process is stopped. Rejects submissions once the spool has not been opened within
+/// [`SPOOL_OPEN_TIMEOUT`].
 async fn collect_events(tasks: &RelayTasks, deferred: &mut DeferredEvents) {
     let started = Instant::now();
     loop {
@@ -82,33 +82,33 @@
             Timer::at(started + SPOOL_OPEN_TIMEOUT).await;
             None
         };
-        let leaving = async {
-            let _ = tasks.clients_leave.1.recv().await;
+        let stopping = async {
+            let _ = tasks.clients_stopping.1.recv().await;
             None
         };
         let is_late = started.elapsed() >= SPOOL_OPEN_TIMEOUT;
-        let event = if is_late { received.or(leaving).await } else { received.or(waited).await };
+        let event = if is_late { received.or(stopping).await } else { received.or(waited).await };
         if let Some(event) = event {
             deferred.push(event);
         }
         if started.elapsed() >= SPOOL_OPEN_TIMEOUT {
-            deferred.reject_messages();
+            deferred.reject_submissions();
         }
-        if tasks.clients_leave.1.is_closed() {
-            return deferred.reject_messages();
+        if tasks.clients_stopping.1.is_closed() {
+            return deferred.reject_submissions();
         }
     }
 }
 
-/// The end of a process that never had its spool: clients hear that nothing of theirs was accepted.
+/// Ends a process that never opened its spool: rejects the submissions still pending.
 async fn finish(tasks: &RelayTasks) {
-    tasks.clients_end.0.close();
+    tasks.clients_ending.0.close();
     let mut rounds = ShutdownRounds::start();
     loop {
         rounds.wait_for_next().await;
         let mut is_quiet = tasks.client_connections.get() == 0;
         while let Ok(event) = tasks.events.1.try_recv() {
-            reject_if_message(&event);
+            reject_submission(&event);
             is_quiet = false;
         }
         if rounds.is_complete(is_quiet) {
--- a/crates/relay/src/startup/opening_tests.rs
+++ b/crates/relay/src/startup/opening_tests.rs
@@ -8,7 +8,7 @@
     RelayTasks::new(Rc::new(LocalExecutor::new()), MaintenanceState::from_text(""))
 }
 
-/// Submits a message; its reply comes over the channel.
+/// Submits a message; returns the channel of its reply.
 fn submit(tasks: &RelayTasks) -> Receiver<SubmissionReply> {
     let (reply_to, reply) = async_channel::bounded(1);
     let metadata_text = "c=any,d=8000,dest=7";
@@ -25,18 +25,18 @@
 }
 
 #[test]
-fn what_came_first_is_sent_first() {
+fn prepended_items_precede_queued_ones() {
     let channel = async_channel::unbounded();
     for item in [3, 4] {
         channel.0.try_send(item).expect("room");
     }
-    send_first(&channel, vec![1, 2]);
+    prepend(&channel, vec![1, 2]);
     let items: Vec<u32> = std::iter::from_fn(|| channel.1.try_recv().ok()).collect();
     assert_eq!(items, [1, 2, 3, 4]);
 }
 
 #[test]
-fn a_message_waits_for_a_spool_that_opens_soon() {
+fn submission_is_kept_while_the_spool_opens() {
     let tasks = tasks();
     let reply = submit(&tasks);
     let mut deferred = DeferredEvents::default();
@@ -46,29 +46,29 @@
         }
         Ok(7)
     };
-    let opened = async_io::block_on(open_beside_clients(&tasks, &mut deferred, opening));
+    let opened = async_io::block_on(await_while_serving(&tasks, &mut deferred, opening));
     assert!(matches!(opened, Ok(Some(7))));
     assert!(reply.is_empty() && !reply.is_closed());
-    deferred.put_back(&tasks.events);
+    deferred.requeue(&tasks.events);
     assert_eq!(tasks.events.1.len(), 1);
 }
 
-// A state folder that fails for a while: clients hear that they are to come again, and a stop is heard.
+// While the state folder fails, clients must get rejections and the process must remain stoppable.
 #[test]
-fn a_message_is_rejected_while_the_spool_cannot_be_opened() {
+fn submissions_are_rejected_while_the_spool_cannot_be_opened() {
     let tasks = tasks();
     let reply = submit(&tasks);
     let mut deferred = DeferredEvents::default();
     let opened = async_io::block_on(async {
-        let opening = open_beside_clients(&tasks, &mut deferred, std::future::pending::<Result<(), _>>());
+        let opening = await_while_serving(&tasks, &mut deferred, std::future::pending::<Result<(), _>>());
         let client = async {
             assert_eq!(reply.recv().await, Ok(SubmissionReply::Rejected { retry_after_ms: 0 }));
             assert_eq!(submit(&tasks).recv().await, Ok(SubmissionReply::Rejected { retry_after_ms: 0 }));
-            tasks.clients_leave.0.close();
+            tasks.clients_stopping.0.close();
             std::future::pending().await
         };
         opening.or(client).await
     });
     assert!(matches!(opened, Ok(None)));
-    assert!(tasks.clients_end.0.is_closed());
+    assert!(tasks.clients_ending.0.is_closed());
 }
--- a/crates/relay/src/startup/spool.rs
+++ b/crates/relay/src/startup/spool.rs
@@ -1,9 +1,9 @@
-//! Opens the spool of an active process: waits for the process before to end, and merges what a successor accepted
-//! beside it.
+//! Opens the spool of an active process: waits until the previous process has exited, and merges the messages accepted
+//! by a successor.
 
 use super::config::StartConfig;
-use super::opening::{DeferredEvents, open_beside_clients};
-use super::patience::{MayPass, Patience};
+use super::opening::{DeferredEvents, await_while_serving};
+use super::retry::{RetryDeadlines, Retryable};
 use super::state_dir::{StateDir, take_free_lock};
 use super::tasks::RelayTasks;
 use crate::clients::is_same_message;
@@ -22,22 +22,22 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A message that is not in the spool has no number; the dispatcher knows none by this one.
+/// Message number in notifications of messages that are not in the spool; the dispatcher does not use it.
 const NOT_IN_SPOOL: MessageId = MessageId(u64::MAX);
 
 /// The spool of an active process.
 pub(crate) struct ActiveSpool {
     pub(crate) spool: Spool,
-    /// Events from the time before this process was active that the dispatcher has to handle, in order.
+    /// Events received before this process was active that the dispatcher has to handle, in order.
     pub(crate) deferred_events: DeferredEvents,
-    /// The time line of all that is stored.
+    /// Time line of stored times.
     pub(crate) stored_time: StoredTime,
-    /// The process that has handed over to this one, by what it calls itself; none if that is not known.
-    pub(crate) process_before: Option<String>,
+    /// Name of the process that handed over to this one, if known.
+    pub(crate) previous_process: Option<String>,
 }
 
-/// Opens the spool as the role demands; a successor accepts messages meanwhile. None if the process was told to stop
-/// before that.
+/// Opens the spool according to the role; a successor accepts messages until it becomes active. Returns `None` if the
+/// process was stopped before that.
 pub(crate) async fn open_spool(
     config: &StartConfig,
     state_dir: &StateDir,
@@ -51,16 +51,16 @@
             let mut deferred_events = DeferredEvents::default();
             let merge_successor = earlier == PreviousSuccessor::LeftMessages;
             let opening = open_as_active(&opener, state_dir, tasks, merge_successor, stored_time);
-            let spool = open_beside_clients(tasks, &mut deferred_events, opening).await?;
-            Ok(spool.map(|spool| ActiveSpool { spool, deferred_events, stored_time, process_before: None }))
+            let spool = await_while_serving(tasks, &mut deferred_events, opening).await?;
+            Ok(spool.map(|spool| ActiveSpool { spool, deferred_events, stored_time, previous_process: None }))
         }
-        // The active spool is not opened here: opening cuts a half written record off and removes a half written
-        // compaction, and both may be the active process's at this moment.
+        // The active spool is not opened here: opening it truncates an incomplete record and removes an unfinished
+        // compaction, both of which the active process may be writing.
         Role::Successor => accept_until_active(config, state_dir, files, stored_time, tasks, &opener).await,
     }
 }
 
-/// Opens the spool of a process that is active at its start, with what a successor left that has ended.
+/// Opens the spool of a process that is active at its start, and merges the messages of an exited successor.
 async fn open_as_active(
     opener: &SpoolOpener<'_>,
     state_dir: &StateDir,
@@ -68,18 +68,18 @@
     merge_successor: bool,
     stored_time: StoredTime,
 ) -> Result<Spool, StartError> {
-    let patience = Patience::of_start();
-    let mut spool = patience.retry_essential(|| opener.open_active()).await?;
+    let retry_deadlines = RetryDeadlines::from_now();
+    let mut spool = retry_deadlines.retry_required(|| opener.open_active()).await?;
     if merge_successor {
-        let successor = patience.retry_essential(|| opener.open_successor()).await?;
+        let successor = retry_deadlines.retry_required(|| opener.open_successor()).await?;
         let accepted =
             SuccessorMessages { spool: successor, dated_by: stored_time, shared_time: stored_time };
-        merge_successor_spool(&mut spool, accepted, state_dir, tasks, &patience).await?;
+        merge_successor_spool(&mut spool, accepted, state_dir, tasks, &retry_deadlines).await?;
     }
     Ok(spool)
 }
 
-/// Accepts messages beside the active process until it ends, then takes over its spool.
+/// Accepts messages concurrently with the active process until it exits, then takes over its spool.
 async fn accept_until_active(
     config: &StartConfig,
     state_dir: &StateDir,
@@ -88,13 +88,13 @@
     tasks: &RelayTasks,
     opener: &SpoolOpener<'_>,
 ) -> Result<Option<ActiveSpool>, StartError> {
-    let patience = Patience::of_start();
+    let retry_deadlines = RetryDeadlines::from_now();
     let mut early_events = DeferredEvents::default();
-    let opening = patience.retry_essential(|| opener.open_successor());
-    let opened = open_beside_clients(tasks, &mut early_events, opening).await?;
+    let opening = retry_deadlines.retry_required(|| opener.open_successor());
+    let opened = await_while_serving(tasks, &mut early_events, opening).await?;
     let Some(successor) = opened else { return Ok(None) };
-    early_events.put_back(&tasks.events);
-    info!("another process owns the state folder: accepts messages beside it");
+    early_events.requeue(&tasks.events);
+    info!("another process owns the state folder: accepting messages as its successor");
     let mut intake = SuccessorIntake::new(IntakeOptions {
         spool: successor,
         active_lock: &state_dir.active_lock,
@@ -103,37 +103,37 @@
         maintenance: tasks.maintenance.clone(),
         files,
         stored_time,
-        clients_leave: tasks.clients_leave.0.clone(),
-        clients_end: tasks.clients_end.0.clone(),
+        clients_stopping: tasks.clients_stopping.0.clone(),
+        clients_ending: tasks.clients_ending.0.clone(),
         client_connections: tasks.client_connections.clone(),
     });
     let mut deferred_events = match intake.run(&tasks.events.1).await {
         IntakeEnd::Stopped => return Ok(None),
         IntakeEnd::BecameActive(deferred_events) => deferred_events,
     };
-    let (successor, process_before) = intake.into_parts();
+    let (successor, previous_process) = intake.into_parts();
     let taking_over = async {
-        let patience = Patience::of_start();
-        let mut spool = patience.retry_essential(|| opener.open_active()).await?;
+        let retry_deadlines = RetryDeadlines::from_now();
+        let mut spool = retry_deadlines.retry_required(|| opener.open_active()).await?;
         let shared_time =
-            if stored_time.is_shared() { stored_time } else { files.stored_time(&patience).await };
+            if stored_time.is_shared() { stored_time } else { files.stored_time(&retry_deadlines).await };
         let accepted = SuccessorMessages { spool: successor, dated_by: stored_time, shared_time };
-        merge_successor_spool(&mut spool, accepted, state_dir, tasks, &patience).await?;
-        // What the process before wrote down since this one started.
-        let maintenance = files.read_maintenance(&patience).await;
+        merge_successor_spool(&mut spool, accepted, state_dir, tasks, &retry_deadlines).await?;
+        // The previous process may have changed the file after this process read it.
+        let maintenance = files.read_maintenance(&retry_deadlines).await;
         tasks.maintenance.borrow_mut().reload(&maintenance);
         Ok((spool, shared_time))
     };
-    let taken_over = open_beside_clients(tasks, &mut deferred_events, taking_over).await?;
+    let taken_over = await_while_serving(tasks, &mut deferred_events, taking_over).await?;
     Ok(taken_over.map(|(spool, stored_time)| ActiveSpool {
         spool,
         deferred_events,
         stored_time,
-        process_before,
+        previous_process,
     }))
 }
 
-/// What a successor has accepted, and by which time line it has dated that.
+/// Messages accepted by a successor, and the time line of their timestamps.
 struct SuccessorMessages {
     spool: Spool,
     dated_by: StoredTime,
@@ -141,7 +141,7 @@
 }
 
 impl SuccessorMessages {
-    /// Its messages, dated by the time line that all processes share.
+    /// Returns the messages with timestamps translated to the time line that all processes share.
     fn stored_messages(&self) -> Vec<StoredMessage> {
         let mut messages = stored_messages(&self.spool);
         if !self.dated_by.is_shared() {
@@ -156,10 +156,10 @@
     }
 }
 
-/// The spool that a successor writes, as the active process beside it sees it: once the successor has ended without
-/// becoming active, what it accepted is the active process's.
+/// The spool of a successor, as used by the active process: if a successor exits without becoming active, the active
+/// process adopts the messages it accepted.
 pub(crate) struct SuccessorSpool {
-    /// A successor that was there at this process's start may have accepted messages in order before that.
+    /// Whether a successor that was running at the start of this process may have accepted messages in order before.
     may_hold_earlier_messages: Cell<bool>,
     dir: PathBuf,
     max_bytes: u64,
@@ -167,12 +167,12 @@
     max_zone_bytes: u64,
 }
 
-/// The messages of a successor that has ended.
+/// The spool of a successor that has exited without becoming active.
 pub(crate) struct OrphanedSpool {
-    /// In the order in which they were accepted.
+    /// Messages in the order in which they were accepted.
     pub(crate) messages: Vec<StoredMessage>,
     file: PathBuf,
-    /// No other successor begins to write meanwhile.
+    /// Lock that prevents another successor from writing the spool meanwhile.
     _lock: File,
 }
 
@@ -182,7 +182,8 @@
         let may_hold_earlier_messages = state_dir.role == Role::Active(PreviousSuccessor::Running);
         if may_hold_earlier_messages {
             warn!(
-                "a successor of the process before still runs: messages in order are rejected until it ends"
+                "a successor of the previous process still runs and may hold earlier messages: messages in order \
+                 are rejected until it exits"
             );
         }
         SuccessorSpool {
@@ -194,20 +195,20 @@
         }
     }
 
-    /// True until what an earlier successor has accepted is this process's: messages in order might be among it that come
-    /// before what clients submit now.
+    /// Returns whether a successor may hold messages in order that precede those submitted now. Becomes false once this
+    /// process has adopted its messages.
     pub(crate) fn may_hold_earlier_messages(&self) -> bool {
         self.may_hold_earlier_messages.get()
     }
 
-    /// What it has left, if anything, is this process's now.
+    /// Records that this process has adopted the messages of the successor, if there were any.
     pub(crate) fn record_takeover(&self) {
         if self.may_hold_earlier_messages.replace(false) {
-            info!("messages in order are accepted again: the successor has ended");
+            info!("messages in order are accepted again: the successor has exited");
         }
     }
 
-    /// What a successor has left; none while one runs, or where none has left anything.
+    /// Returns the spool of an exited successor, or `None` if a successor runs or no spool exists.
     pub(crate) fn take_orphaned(&self) -> Option<OrphanedSpool> {
         let file = self.dir.join(mountshift_spool::FILE_NAME);
         if !self.may_hold_earlier_messages() && !file.exists() {
@@ -229,15 +230,15 @@
 }
 
 impl OrphanedSpool {
-    /// Removes what was left, once it stands in the active process's spool.
+    /// Removes the spool file, after its messages were written to the active process's spool.
     pub(crate) fn remove(&self) -> io::Result<()> {
         std::fs::remove_file(&self.file)
     }
 }
 
-impl MayPass for StartError {
-    fn may_pass(&self) -> bool {
-        matches!(self, StartError::Spool { source: SpoolError::Io(source), .. } if source.may_pass())
+impl Retryable for StartError {
+    fn is_retryable(&self) -> bool {
+        matches!(self, StartError::Spool { source: SpoolError::Io(source), .. } if source.is_retryable())
     }
 }
 
@@ -273,21 +274,21 @@
         Spool::open(dir, max_bytes, self.max_attempts, self.max_zone_bytes).map_err(|e| self.unusable(e))
     }
 
-    /// The line names the state folder for both spools; the spool's own error names the file.
+    /// Returns the error with the path of the state folder for either spool; `source` names the file.
     fn unusable(&self, source: SpoolError) -> StartError {
         StartError::Spool { path: self.state_dir.path.clone(), source }
     }
 }
 
-/// Merges what a successor accepted into the active process's spool, in the order in which all of it was accepted,
-/// before any number of the spool is used. What does not fit fails, with a notification. The successor's spool file
-/// is removed.
+/// Merges the messages of a successor into the active process's spool, in the order of acceptance, and removes the
+/// successor's spool file. The merge renumbers messages, so it must precede any use of message numbers. Messages that
+/// do not fit end as failed, with a notification.
 async fn merge_successor_spool(
     spool: &mut Spool,
     successor: SuccessorMessages,
     state_dir: &StateDir,
     tasks: &RelayTasks,
-    patience: &Patience,
+    retry_deadlines: &RetryDeadlines,
 ) -> Result<(), StartError> {
     let accepted_by_active = stored_messages(spool);
     let accepted_by_successor = successor.stored_messages();
@@ -301,21 +302,21 @@
         };
         merged.push(message.clone());
     }
-    let left_out = patience
-        .retry_essential(|| spool.replace_all(merged.clone()))
+    let without_space = retry_deadlines
+        .retry_required(|| spool.replace_all(merged.clone()))
         .await
         .map_err(StartError::MergeSpools)?;
-    for message in left_out {
+    for message in without_space {
         notify_no_space(message, &tasks.notifications.0);
     }
     for message in &accepted_by_successor {
-        return_if_id_is_taken(message, &accepted_by_active, &tasks.notifications.0);
+        notify_if_id_conflicts(message, &accepted_by_active, &tasks.notifications.0);
     }
-    info!("took over {} messages accepted beside the active process", accepted_by_successor.len());
+    info!("took over {} messages accepted as successor of the active process", accepted_by_successor.len());
     drop(successor);
     let path = state_dir.successor_path.join(mountshift_spool::FILE_NAME);
-    patience
-        .retry_essential(|| std::fs::remove_file(&path))
+    retry_deadlines
+        .retry_required(|| std::fs::remove_file(&path))
         .await
         .map_err(|source| StartError::State { path, source })
 }
@@ -324,37 +325,38 @@
     spool.messages().values().cloned().collect()
 }
 
-/// The id of each message, and when it was accepted.
+/// Returns the id and the time of acceptance, in Unix microseconds, of each message.
 fn accept_times(messages: &[StoredMessage]) -> Vec<(&[u8], u64)> {
     messages.iter().map(|message| (message.accepted.id.as_slice(), message.accepted.accepted_at_us)).collect()
 }
 
-/// A message that a successor has accepted is left out where the active process holds one of its id. If that is another message
-/// this one is owed an end all the same: it has not run, and may come again under an id of its own.
-fn return_if_id_is_taken(
+/// Notifies the platform if the merge omitted a message of the successor because the active process holds a different
+/// message with the same id. The omitted message has not run, so it can be submitted again with another id.
+fn notify_if_id_conflicts(
     message: &StoredMessage,
     held: &[StoredMessage],
     notifications: &Sender<Notification>,
 ) {
     let accepted = &message.accepted;
-    let taken = held.iter().find(|held| held.accepted.id == accepted.id);
-    if taken.is_some_and(|held| !is_same_message(&held.accepted, accepted)) {
+    let same_id = held.iter().find(|held| held.accepted.id == accepted.id);
+    if same_id.is_some_and(|held| !is_same_message(&held.accepted, accepted)) {
         notify_id_conflict(message, notifications);
     }
 }
 
-/// Tells the platform that a message can't be held beside another one of its id.
+/// Notifies the platform that a message is returned because another message with its id is held.
 pub(crate) fn notify_id_conflict(message: &StoredMessage, notifications: &Sender<Notification>) {
     let id = message.accepted.id.clone();
-    warn!("message {} is returned: another one is held under its id", String::from_utf8_lossy(&id));
+    warn!("message {} is returned: another message with the same id is held", String::from_utf8_lossy(&id));
     let outcome = FinalOutcome::Rejected(0);
     let _ = notifications.try_send(Notification { message: NOT_IN_SPOOL, id, outcome });
 }
 
+/// Notifies the platform that a message of the previous process ends as failed because the spool has no space for it.
 pub(crate) fn notify_no_space(message: StoredMessage, notifications: &Sender<Notification>) {
     let id = message.accepted.id;
     warn!(
-        "spool: no room for message {} of the process before; it ends as failed",
+        "spool: no space for message {} of the previous process; it ends as failed",
         String::from_utf8_lossy(&id)
     );
     let notification = Notification { message: NOT_IN_SPOOL, id, outcome: FinalOutcome::Failed };
--- a/crates/relay/src/startup/tasks.rs
+++ b/crates/relay/src/startup/tasks.rs
@@ -1,5 +1,5 @@
-//! The tasks that run beside the dispatcher, and the channels between them. Each task is spawned here and runs until
-//! the process ends; what tells it to stop, if anything, is a channel that is closed.
+//! The tasks that run concurrently with the dispatcher, and the channels between them. Each task is spawned here and
+//! runs until the process exits or its stop channel, if any, is closed.
 
 use super::config::StartConfig;
 use super::state_dir::StateDir;
@@ -21,45 +21,47 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An endpoint list may take one part in so many of the memory ...
+/// Divisor of the memory limit that gives the maximum size of an endpoint list.
 const LIST_MEMORY_DIVISOR: usize = 32;
-/// ... and so may all client requests that are not whole yet.
+/// Divisor of the memory limit that gives the maximum size of all incomplete client requests.
 const REQUEST_MEMORY_DIVISOR: usize = 8;
-/// Client connections may take one part in so many of the descriptors; the rest is for endpoints and files.
+/// Divisor of the descriptor limit that gives the maximum number of client connections. The remaining descriptors are
+/// for endpoints and files.
 const CLIENT_DESCRIPTOR_DIVISOR: usize = 2;
 
-/// Where the relay is reached.
+/// Listening sockets of the relay.
 pub(crate) struct Listeners {
     pub(crate) clients: Async<TcpListener>,
-    /// The operators' address, where there is one.
+    /// Socket for operators, if configured.
     pub(crate) admin: Option<Async<TcpListener>>,
 }
 
-/// A channel, both ends: kept together so that none of them closes before the process ends.
+/// Both ends of a channel, kept together so that the channel stays open until the process exits.
 type Channel<T> = (Sender<T>, Receiver<T>);
 
-/// What the tasks share. All of them run on one thread.
+/// State shared by the tasks, all of which run on one thread.
 pub(crate) struct RelayTasks {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    /// To the dispatcher, or to a successor's intake before it.
+    /// Events for the dispatcher, or before that for a successor's intake.
     pub(crate) events: Channel<Event>,
-    /// Final outcomes, from the dispatcher to discovery's address.
+    /// Notifications of final outcomes, from the dispatcher to the notifier.
     pub(crate) notifications: Channel<Notification>,
-    /// From the dispatcher: the endpoint list is to be asked for.
+    /// Requests of the dispatcher to poll the endpoint list.
     pub(crate) poll_requests: Channel<()>,
-    /// Closed when client connections are to go.
-    pub(crate) clients_leave: Channel<()>,
-    /// Closed shortly before the process ends: clients hear the answers they are owed, nothing more is read.
-    pub(crate) clients_end: Channel<()>,
-    /// The operators' commands in force.
+    /// Channel that is closed when the relay stops accepting and starts to close client connections.
+    pub(crate) clients_stopping: Channel<()>,
+    /// Channel that is closed shortly before the process exits: pending replies are sent, further requests are
+    /// rejected.
+    pub(crate) clients_ending: Channel<()>,
+    /// Maintenance commands in effect.
     pub(crate) maintenance: Rc<RefCell<MaintenanceState>>,
-    /// Client connections open now.
+    /// Number of open client connections.
     pub(crate) client_connections: Rc<Cell<usize>>,
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) violations: Rc<Violations>,
-    /// True once this process holds the active process's lock and spool.
+    /// Whether this process holds the lock and the spool of the active process.
     pub(crate) is_active: Rc<Cell<bool>>,
-    /// From which maintenance commands count time.
+    /// Reference time for maintenance commands.
     started: Instant,
 }
 
@@ -75,15 +77,15 @@
             events: async_channel::unbounded(),
             notifications: async_channel::unbounded(),
             poll_requests: async_channel::bounded(1),
-            clients_leave: async_channel::bounded(1),
-            clients_end: async_channel::bounded(1),
+            clients_stopping: async_channel::bounded(1),
+            clients_ending: async_channel::bounded(1),
             maintenance: Rc::new(RefCell::new(maintenance)),
             is_active: Rc::default(),
             started: Instant::now(),
         }
     }
 
-    /// Starts everything that runs beside the dispatcher, each task on the channels it needs.
+    /// Spawns all tasks that run concurrently with the dispatcher.
     pub(crate) fn spawn_all(
         &self,
         config: &StartConfig,
@@ -106,7 +108,7 @@
             discovery: config.discovery,
             discovery_moves: vec![discovery_moves.0, notification_moves.0],
             events: self.events.0.clone(),
-            clients_leave: self.clients_leave.0.clone(),
+            clients_stopping: self.clients_stopping.0.clone(),
             is_active: self.is_active.clone(),
             successor_path: state_dir.successor_path.clone(),
             executor: self.executor.clone(),
@@ -116,7 +118,8 @@
         self.executor.spawn(handler.run(signals.signals)).detach();
     }
 
-    /// Follows the endpoint list: unasked, or when the decisions ask, as the settings say.
+    /// Spawns the task that keeps the endpoint list up to date, by watching or, if the settings require it, by polling
+    /// at the request of the policy.
     fn spawn_discovery_client(
         &self,
         config: &StartConfig,
@@ -154,8 +157,8 @@
                 drop(received.try_send(Event::MessageReceived { message, reply_to }));
             }),
             withdraw: Box::new(move |message| drop(unreachable.try_send(Event::ClientUnreachable(message)))),
-            stopping: self.clients_leave.1.clone(),
-            ending: self.clients_end.1.clone(),
+            stopping: self.clients_stopping.1.clone(),
+            ending: self.clients_ending.1.clone(),
             max_connections: config.max_descriptors / CLIENT_DESCRIPTOR_DIVISOR,
             max_buffered_bytes: config.memory_bytes / REQUEST_MEMORY_DIVISOR,
             open_connections: self.client_connections.clone(),
--- a/crates/relay/src/state_files.rs
+++ b/crates/relay/src/state_files.rs
@@ -5,7 +5,7 @@
 use crate::clock::{ClockReading, StoredTime, TimeAnchor};
 use crate::handover_marker::HandoverMarker;
 use crate::startup::config::StartConfig;
-use crate::startup::patience::Patience;
+use crate::startup::retry::RetryDeadlines;
 use log::{error, info};
 use mountshift_discovery::{DRAIN_RECORD_DISK_SHARE, DRAIN_RECORD_FILE, DrainRecord, ParsedDrainRecord};
 use mountshift_handover::{FORMAT, RouteRecord, SNAPSHOT_FILE, Snapshot};
@@ -48,20 +48,20 @@
 
     /// The time line of all that is stored: the anchor that an earlier process of this boot left, else a new one. For the
     /// active process.
-    pub(crate) async fn stored_time(&self, patience: &Patience) -> StoredTime {
-        let reading = ClockReading::now(patience).await;
-        let anchor = match self.read_anchor(&reading, patience).await {
+    pub(crate) async fn stored_time(&self, retry_deadlines: &RetryDeadlines) -> StoredTime {
+        let reading = ClockReading::now(retry_deadlines).await;
+        let anchor = match self.read_anchor(&reading, retry_deadlines).await {
             Some(anchor) => anchor,
-            None => self.write_anchor(TimeAnchor::new(&reading), patience).await,
+            None => self.write_anchor(TimeAnchor::new(&reading), retry_deadlines).await,
         };
         StoredTime::new(&anchor, &reading)
     }
 
     /// The time line for a successor: the active process's. Where that can't be read it has one of its own for now, which
     /// it must not write down: all that the active process has stored would be dated anew.
-    pub(crate) async fn stored_time_beside_active(&self, patience: &Patience) -> StoredTime {
-        let reading = ClockReading::now(patience).await;
-        if let Some(anchor) = self.read_anchor(&reading, patience).await {
+    pub(crate) async fn stored_time_as_successor(&self, retry_deadlines: &RetryDeadlines) -> StoredTime {
+        let reading = ClockReading::now(retry_deadlines).await;
+        if let Some(anchor) = self.read_anchor(&reading, retry_deadlines).await {
             return StoredTime::new(&anchor, &reading);
         }
         info!("{ANCHOR_FILE}: not to be had; messages in order are accepted once this process is active");
@@ -69,25 +69,29 @@
     }
 
     /// The anchor that an earlier process of this boot left.
-    async fn read_anchor(&self, reading: &ClockReading, patience: &Patience) -> Option<TimeAnchor> {
-        let stored = self.read(ANCHOR_FILE, patience).await;
+    async fn read_anchor(
+        &self,
+        reading: &ClockReading,
+        retry_deadlines: &RetryDeadlines,
+    ) -> Option<TimeAnchor> {
+        let stored = self.read(ANCHOR_FILE, retry_deadlines).await;
         stored.as_deref().and_then(TimeAnchor::from_text).filter(|anchor| anchor.holds(reading))
     }
 
     /// Notes which Unix time belongs to which monotonic reading. Waited for: what is accepted before it is written would
     /// be dated by the next process's wall clock.
-    async fn write_anchor(&self, anchor: TimeAnchor, patience: &Patience) -> TimeAnchor {
+    async fn write_anchor(&self, anchor: TimeAnchor, retry_deadlines: &RetryDeadlines) -> TimeAnchor {
         info!("times that are stored count from now on by the monotonic clock of this boot");
         let (path, text) = (self.dir.join(ANCHOR_FILE), anchor.to_string());
-        if let Err(e) = patience.retry(|| replace_file(&path, &text)).await {
-            self.note_unwritten(ANCHOR_FILE, &text, &e);
+        if let Err(e) = retry_deadlines.retry_optional(|| replace_file(&path, &text)).await {
+            self.record_unwritten(ANCHOR_FILE, &text, &e);
         }
         anchor
     }
 
     /// The endpoints in maintenance as written; none is, where there is no file.
-    pub(crate) async fn read_maintenance(&self, patience: &Patience) -> String {
-        self.read(MAINTENANCE_FILE, patience).await.unwrap_or_default()
+    pub(crate) async fn read_maintenance(&self, retry_deadlines: &RetryDeadlines) -> String {
+        self.read(MAINTENANCE_FILE, retry_deadlines).await.unwrap_or_default()
     }
 
     /// Writes the endpoints in maintenance, for the next process and for one beside this.
@@ -100,13 +104,13 @@
     /// relay goes on as after a restart.
     pub(crate) async fn read_snapshot(
         &self,
-        process_before: Option<&str>,
-        patience: &Patience,
+        previous_process: Option<&str>,
+        retry_deadlines: &RetryDeadlines,
     ) -> Option<Snapshot> {
-        let text = self.read(SNAPSHOT_FILE, patience).await?;
+        let text = self.read(SNAPSHOT_FILE, retry_deadlines).await?;
         let path = self.dir.join(SNAPSHOT_FILE);
         match Snapshot::from_json(&text) {
-            Ok(snapshot) if snapshot.may_be_written_by(process_before) => Some(snapshot),
+            Ok(snapshot) if snapshot.may_be_written_by(previous_process) => Some(snapshot),
             Ok(_) => {
                 info!("{}: not of the process before, left out", path.display());
                 None
@@ -151,8 +155,8 @@
 
     /// Endpoints that earlier processes knew to be draining or removed. What can't be read is left out: the rest
     /// still counts, and discovery is asked before anything is sent.
-    pub(crate) async fn read_drain_record(&self, patience: &Patience) -> DrainRecord {
-        let text = self.read(DRAIN_RECORD_FILE, patience).await.unwrap_or_default();
+    pub(crate) async fn read_drain_record(&self, retry_deadlines: &RetryDeadlines) -> DrainRecord {
+        let text = self.read(DRAIN_RECORD_FILE, retry_deadlines).await.unwrap_or_default();
         let ParsedDrainRecord { record, unreadable_lines } = DrainRecord::from_text(&text);
         if unreadable_lines > 0 {
             let path = self.dir.join(DRAIN_RECORD_FILE);
@@ -195,9 +199,9 @@
     }
 
     /// What a file holds; none if there is none, or if it can't be read for as long as a start can wait.
-    async fn read(&self, name: &str, patience: &Patience) -> Option<String> {
+    async fn read(&self, name: &str, retry_deadlines: &RetryDeadlines) -> Option<String> {
         let path = self.dir.join(name);
-        match patience.retry(|| read_if_present(&path)).await {
+        match retry_deadlines.retry_optional(|| read_if_present(&path)).await {
             Ok(bytes) => bytes.map(|bytes| String::from_utf8_lossy(&bytes).into_owned()),
             Err(e) => {
                 error!("{}: {e}", path.display());
@@ -211,12 +215,12 @@
         match replace_file(&self.dir.join(name), text) {
             // What an earlier try was to write is out of date.
             Ok(()) => drop(self.unwritten.borrow_mut().remove(name)),
-            Err(e) => self.note_unwritten(name, text, &e),
+            Err(e) => self.record_unwritten(name, text, &e),
         }
     }
 
     /// Logged once, or a full disk would fill the log.
-    fn note_unwritten(&self, name: &'static str, text: &str, error: &io::Error) {
+    fn record_unwritten(&self, name: &'static str, text: &str, error: &io::Error) {
         let earlier = self.unwritten.borrow_mut().insert(name, text.to_string());
         if earlier.is_none() {
             error!("{}: {error}; tried again until it is written", self.dir.join(name).display());
--- a/crates/relay/src/successor.rs
+++ b/crates/relay/src/successor.rs
@@ -51,9 +51,9 @@
     /// The time line of all that is stored.
     pub(crate) stored_time: StoredTime,
     /// Closed when client connections are to go.
-    pub(crate) clients_leave: Sender<()>,
+    pub(crate) clients_stopping: Sender<()>,
     /// Closed shortly before the end: clients hear the answers they are owed, nothing more is read.
-    pub(crate) clients_end: Sender<()>,
+    pub(crate) clients_ending: Sender<()>,
     /// Client connections open now.
     pub(crate) client_connections: Rc<Cell<usize>>,
 }
@@ -68,7 +68,7 @@
     deferred_events: DeferredEvents,
     stopping_since: Option<Instant>,
     /// The active process that has said that it hands over.
-    process_before: Option<String>,
+    previous_process: Option<String>,
     /// The spool could not be written at the last try, and the log says so.
     failure_logged: bool,
 }
@@ -81,7 +81,7 @@
             acceptances: Acceptances::default(),
             deferred_events: DeferredEvents::default(),
             stopping_since: None,
-            process_before: None,
+            previous_process: None,
             failure_logged: false,
         }
     }
@@ -93,7 +93,7 @@
                 self.handle(event);
             }
             self.commit();
-            self.note_handover();
+            self.record_handover();
             if self.stopping_since.is_some() {
                 if self.may_stop() {
                     self.finish(events).await;
@@ -109,13 +109,13 @@
 
     /// What the intake leaves to the active process that this one is now.
     pub(crate) fn into_parts(self) -> (Spool, Option<String>) {
-        (self.options.spool, self.process_before)
+        (self.options.spool, self.previous_process)
     }
 
     /// Whose snapshot counts: that of the process that has handed over.
-    fn note_handover(&mut self) {
-        if self.process_before.is_none() {
-            self.process_before = self.options.files.handing_over_process();
+    fn record_handover(&mut self) {
+        if self.previous_process.is_none() {
+            self.previous_process = self.options.files.handing_over_process();
         }
     }
 
@@ -214,7 +214,7 @@
             self.stopping_since = Some(Instant::now());
         }
         self.options.maintenance.borrow_mut().set_stopping();
-        self.options.clients_leave.close();
+        self.options.clients_stopping.close();
     }
 
     fn on_maintenance_changed(&mut self, change: Change) {
@@ -257,7 +257,7 @@
 
     /// The end of a process that was not active: clients hear what became of the requests that were read.
     async fn finish(&mut self, events: &Receiver<Event>) {
-        self.options.clients_end.close();
+        self.options.clients_ending.close();
         let mut rounds = ShutdownRounds::start();
         loop {
             rounds.wait_for_next().await;
