--- a/crates/relay/src/acceptance.rs
+++ b/crates/relay/src/acceptance.rs
@@ -1,83 +1,84 @@
-//! Who waits to hear, or has heard, that a message is accepted.
+//! Replies to the clients that submitted a held message.
 //!
-//! One request may come twice: its client sends it once more where the end of a connection crossed it, and other clients may
-//! copy it. Each of them hears "accepted" only once the message is committed, and the message is withdrawn only when none is left
-//! that has heard so.
+//! The same request may be submitted more than once: a client resends it if its connection was closed meanwhile, and
+//! other clients may submit copies. Each of them gets the "accepted" reply only after the message is committed, and the
+//! message is withdrawn only when the last of them turns out to be unreachable.
 
 use crate::clients::SubmissionReply;
 use async_channel::Sender;
 use mountshift::interface::MessageId;
 use std::collections::BTreeMap;
 
-/// A client that waits for the commit of its message.
-struct WaitingClient {
+/// A client's reply channel and the message whose commit the reply depends on.
+struct PendingReply {
     message: MessageId,
     reply_to: Sender<SubmissionReply>,
 }
 
-/// The clients of held messages.
+/// The clients that submitted held messages.
 #[derive(Default)]
 pub(crate) struct Acceptances {
-    /// Those of messages that are not committed.
-    waiting: Vec<WaitingClient>,
-    /// How many clients beside the first one have handed a message in.
-    further_clients: BTreeMap<MessageId, u32>,
+    /// Clients of messages that are not committed yet.
+    pending: Vec<PendingReply>,
+    /// Number of clients per message that submitted it after the first one.
+    additional_clients: BTreeMap<MessageId, u32>,
 }
 
 impl Acceptances {
-    /// The first client of a message waits for its commit.
+    /// Adds a client that waits for the commit of its message.
     pub(crate) fn add(&mut self, message: MessageId, reply_to: Sender<SubmissionReply>) {
-        self.waiting.push(WaitingClient { message, reply_to });
+        self.pending.push(PendingReply { message, reply_to });
     }
 
-    /// Another client has handed the same message in. It hears at once that a committed one is accepted.
+    /// Adds a further client that submitted the same message. If the message is committed, replies at once.
     pub(crate) fn add_repeat(&mut self, message: MessageId, reply_to: Sender<SubmissionReply>) {
-        *self.further_clients.entry(message).or_default() += 1;
-        if self.waiting.iter().any(|client| client.message == message) {
+        *self.additional_clients.entry(message).or_default() += 1;
+        if self.pending.iter().any(|client| client.message == message) {
             self.add(message, reply_to);
         } else {
             let _ = reply_to.try_send(SubmissionReply::Accepted(message));
         }
     }
 
-    /// Tells all that wait that their messages are accepted, as these are committed.
+    /// Replies to all waiting clients that their messages, now committed, are accepted.
     pub(crate) fn reply_accepted(&mut self) {
-        for client in self.waiting.drain(..) {
+        for client in self.pending.drain(..) {
             let _ = client.reply_to.try_send(SubmissionReply::Accepted(client.message));
         }
     }
 
-    /// Tells all that wait that they may hand their messages in again, and gives back those messages, each once.
+    /// Replies to all waiting clients that their messages are rejected and may be submitted again. Returns these
+    /// messages without duplicates.
     pub(crate) fn reply_rejected(&mut self) -> Vec<MessageId> {
         let mut messages = Vec::new();
-        for client in self.waiting.drain(..) {
+        for client in self.pending.drain(..) {
             let _ = client.reply_to.try_send(SubmissionReply::Rejected { retry_after_ms: 0 });
             if !messages.contains(&client.message) {
                 messages.push(client.message);
             }
         }
         for message in &messages {
-            self.further_clients.remove(message);
+            self.additional_clients.remove(message);
         }
         messages
     }
 
-    /// Ends the message for those that wait for its commit; true if there was one.
+    /// Sends the final reply to the clients that wait for the commit of the message; returns whether there were any.
     pub(crate) fn reply_final(&mut self, message: MessageId, answer: SubmissionReply) -> bool {
-        let waited = self.waiting.len();
-        self.waiting.retain(|client| {
-            let is_its = client.message == message;
-            if is_its {
+        let pending_before = self.pending.len();
+        self.pending.retain(|client| {
+            let is_for_message = client.message == message;
+            if is_for_message {
                 let _ = client.reply_to.try_send(answer);
             }
-            !is_its
+            !is_for_message
         });
-        self.waiting.len() < waited
+        self.pending.len() < pending_before
     }
 
-    /// A client did not hear that the message is accepted. True if no other one has handed it in.
+    /// Removes a client that could not be sent the "accepted" reply; returns whether it was the last of the message.
     pub(crate) fn release_client(&mut self, message: MessageId) -> bool {
-        match self.further_clients.get_mut(&message) {
+        match self.additional_clients.get_mut(&message) {
             Some(further) if *further > 0 => {
                 *further -= 1;
                 false
@@ -86,9 +87,9 @@
         }
     }
 
-    /// The message is held no longer.
+    /// Removes a message that is no longer held.
     pub(crate) fn remove(&mut self, message: MessageId) {
-        self.further_clients.remove(&message);
+        self.additional_clients.remove(&message);
     }
 }
 
--- a/crates/relay/src/admin.rs
+++ b/crates/relay/src/admin.rs
@@ -1,5 +1,5 @@
-//! The operators' address: maintenance commands over HTTP/1.1, one a connection. What a command means is decided in
-//! `mountshift_maintenance`; here commands are read, handed over and answered. No answer waits for the dispatcher.
+//! HTTP/1.1 server for operators: maintenance commands and metrics, one request per connection. The semantics of the
+//! commands are in `mountshift_maintenance`. Responses never wait for the dispatcher.
 
 use crate::clients::ACCEPT_PAUSE;
 use crate::metrics::Metrics;
@@ -19,47 +19,47 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Bytes that one read of a request takes at most.
+/// Maximum number of bytes per read of a request.
 const READ_CHUNK_BYTES: usize = 1024;
-/// Where the metrics are.
+/// Request target of the metrics.
 const METRICS_TARGET: &str = "/metrics";
-/// The status of the metrics.
+/// Status code of the metrics response.
 const METRICS_CODE: u16 = 200;
-/// The content type of the metrics: Prometheus' text format, as `prometheus-client` writes it.
+/// Content type of the metrics: the OpenMetrics text format, as written by `prometheus-client`.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Header fields of a request at most.
+/// Maximum number of header fields of a request.
 const MAX_HEADERS: usize = 32;
 
-/// What commands act on.
+/// State that commands read and change.
 pub(crate) struct AdminService {
     pub(crate) maintenance: Rc<RefCell<MaintenanceState>>,
-    /// The relay's start, from which maintenance commands count time.
+    /// Start of the relay; the reference time for maintenance commands.
     pub(crate) started: Instant,
-    /// Carries out what a command changed.
+    /// Applies the change made by a command.
     pub(crate) on_change: Box<dyn Fn(Change)>,
     pub(crate) metrics: Rc<Metrics>,
 }
 
-/// The open connections by number, each with what lets it go when closed.
+/// Open connections by number, each with the channel whose close evicts it.
 #[derive(Default)]
-struct Callers {
+struct AdminConnections {
     open: BTreeMap<u64, Sender<()>>,
     last_number: u64,
 }
 
-impl Callers {
-    /// Adds a connection; gives its number, and what closes when it is to go. Callers that say nothing must not keep
-    /// others out: the one that came first makes room.
+impl AdminConnections {
+    /// Adds a connection; returns its number and the channel that is closed to evict it. The oldest connections are
+    /// evicted if there are too many, so that silent callers do not exclude others.
     fn add(&mut self) -> (u64, Receiver<()>) {
         while self.open.len() >= MAX_ADMIN_CONNECTIONS {
-            if let Some((_, dismiss)) = self.open.pop_first() {
-                dismiss.close();
+            if let Some((_, evict)) = self.open.pop_first() {
+                evict.close();
             }
         }
         self.last_number += 1;
-        let (dismiss, dismissed) = async_channel::bounded(1);
-        self.open.insert(self.last_number, dismiss);
-        (self.last_number, dismissed)
+        let (evict, evicted) = async_channel::bounded(1);
+        self.open.insert(self.last_number, evict);
+        (self.last_number, evicted)
     }
 
     fn remove(&mut self, number: u64) {
@@ -67,27 +67,27 @@
     }
 }
 
-/// Accepts connections for as long as the process runs.
+/// Accepts connections until the process exits.
 pub(crate) async fn serve(
     listener: Async<TcpListener>,
     service: Rc<AdminService>,
     executor: Rc<LocalExecutor<'static>>,
 ) {
-    let callers: Rc<RefCell<Callers>> = Rc::default();
+    let connections: Rc<RefCell<AdminConnections>> = Rc::default();
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                let (number, dismissed) = callers.borrow_mut().add();
-                let (service, callers) = (service.clone(), callers.clone());
+                let (number, evicted) = connections.borrow_mut().add();
+                let (service, connections) = (service.clone(), connections.clone());
                 let task = async move {
-                    let response = service.answer(&stream, dismissed).await;
-                    callers.borrow_mut().remove(number);
+                    let response = service.answer(&stream, evicted).await;
+                    connections.borrow_mut().remove(number);
                     respond(&stream, peer, response).await;
                 };
                 executor.spawn(task).detach();
             }
             Err(e) => {
-                warn!("mgmt: accept: {e}");
+                warn!("mgmt: can't accept a connection: {e}");
                 Timer::after(ACCEPT_PAUSE).await;
             }
         }
@@ -95,23 +95,23 @@
 }
 
 impl AdminService {
-    /// The answer to a connection's command, or to a connection that has to go before it brought one.
-    async fn answer(&self, stream: &Async<TcpStream>, dismissed: Receiver<()>) -> Response {
-        let sent_away = async {
-            let _ = dismissed.recv().await;
+    /// Returns the response to the command of a connection, or to its eviction.
+    async fn answer(&self, stream: &Async<TcpStream>, evicted: Receiver<()>) -> Response {
+        let eviction = async {
+            let _ = evicted.recv().await;
             REQUEST_TIMED_OUT.into()
         };
-        self.handle_command(stream).or(sent_away).await
+        self.handle_command(stream).or(eviction).await
     }
 
-    /// Reads a request's head within its time, and carries the command out.
+    /// Reads a request head within [`HEAD_TIMEOUT`] and executes its command.
     async fn handle_command(&self, stream: &Async<TcpStream>) -> Response {
         let due = Instant::now() + HEAD_TIMEOUT;
-        let too_late = async {
+        let timeout = async {
             Timer::at(due).await;
             Err(REQUEST_TIMED_OUT)
         };
-        let head = match read_head(stream).or(too_late).await {
+        let head = match read_head(stream).or(timeout).await {
             Ok(head) => head,
             Err(answer) => return answer.into(),
         };
@@ -132,7 +132,7 @@
     }
 }
 
-/// What goes back to a caller.
+/// Response to a caller.
 struct Response {
     code: u16,
     content_type: &'static str,
@@ -145,13 +145,13 @@
     }
 }
 
-/// What a request's head says.
+/// Parsed request head.
 struct RequestHead {
     method: String,
     target: String,
 }
 
-/// Reads a whole head; a 4xx answer for what is not HTTP or too large.
+/// Reads a complete request head; returns a 4xx response if it is malformed, incomplete or too large.
 async fn read_head(mut stream: &Async<TcpStream>) -> Result<RequestHead, AdminResponse> {
     let mut buffer = Vec::new();
     let mut chunk = [0; READ_CHUNK_BYTES];
@@ -177,7 +177,7 @@
     }
 }
 
-/// The head at the beginning of the bytes; none while it is not whole.
+/// Parses the request head at the beginning of the bytes; returns `None` while it is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<RequestHead>, AdminResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -191,21 +191,21 @@
     }
 }
 
-/// Writes the answer within its time, and closes the connection.
+/// Writes the response within [`WRITE_TIMEOUT`] and closes the connection.
 async fn respond(stream: &Async<TcpStream>, peer: SocketAddr, response: Response) {
     let due = Instant::now() + WRITE_TIMEOUT;
-    let too_late = async {
+    let timeout = async {
         Timer::at(due).await;
         false
     };
-    let is_written = write_response(stream, &response).or(too_late).await;
-    let how = if is_written { "answered" } else { "not taken" };
+    let is_written = write_response(stream, &response).or(timeout).await;
+    let outcome = if is_written { "answered" } else { "response not written" };
     let first_line = response.body.lines().next().unwrap_or_default();
-    info!("mgmt call from {peer}: {} {first_line}, {how}", response.code);
+    info!("mgmt call from {peer}: {} {first_line}, {outcome}", response.code);
     let _ = stream.get_ref().shutdown(Shutdown::Both);
 }
 
-/// True if the whole answer was written.
+/// Writes the response; returns whether it was written completely.
 async fn write_response(mut stream: &Async<TcpStream>, response: &Response) -> bool {
     let Response { code, content_type, body } = response;
     let text = format!(
--- a/crates/relay/src/clock/tests.rs
+++ b/crates/relay/src/clock/tests.rs
@@ -22,16 +22,16 @@
 }
 
 #[test]
-fn spans_translate_to_unix_time_and_back() {
+fn durations_translate_to_unix_time_and_back() {
     let clock = Clock::new(stored_time_now(), Some(unix_now_ms() - ONE_HOUR.as_millis() as u64));
-    let span = clock.now();
-    let back = clock.since_start_of_unix_ms(clock.unix_ms(span));
-    assert!(span - back < Duration::from_millis(1), "{span:?} {back:?}");
-    assert_eq!(clock.since_start(clock.instant(span)), span);
+    let since_start = clock.now();
+    let translated = clock.since_start_of_unix_ms(clock.unix_ms(since_start));
+    assert!(since_start - translated < Duration::from_millis(1), "{since_start:?} {translated:?}");
+    assert_eq!(clock.since_start(clock.instant(since_start)), since_start);
 }
 
 #[test]
-fn the_start_lies_before_the_oldest_attempt() {
+fn clock_starts_at_the_oldest_attempt() {
     let oldest = unix_now_ms() - ONE_HOUR.as_millis() as u64;
     let clock = Clock::new(stored_time_now(), Some(oldest));
     assert!(clock.now() >= ONE_HOUR);
@@ -39,33 +39,33 @@
 }
 
 #[test]
-fn an_attempt_that_another_clock_dates_ahead_does_not_move_the_start() {
+fn attempt_dated_in_the_future_does_not_move_the_start() {
     let clock = Clock::new(stored_time_now(), Some(unix_now_ms() + ONE_HOUR.as_millis() as u64));
     assert!(clock.now() < ONE_HOUR);
 }
 
 #[test]
-fn a_step_of_the_wall_clock_between_two_processes_moves_no_stored_time() {
+fn wall_clock_step_between_processes_does_not_change_stored_times() {
     let anchor = TimeAnchor::new(&reading_at(100, 5_000, Some("boot")));
     for stepped_wall in [5_010, 5_010 + 3_600, 5_010 - 3_600] {
         let later = reading_at(110, stepped_wall, Some("boot"));
-        assert!(anchor.holds(&later));
+        assert!(anchor.is_valid_for(&later));
         let unix = StoredTime::new(&anchor, &later).now();
         assert!(unix >= Duration::from_secs(5_010) && unix < Duration::from_secs(5_015), "{unix:?}");
     }
 }
 
 #[test]
-fn an_anchor_holds_for_one_boot() {
+fn anchor_is_valid_for_one_boot_only() {
     let anchor = TimeAnchor::new(&reading_at(100, 5_000, Some("boot")));
-    assert!(!anchor.holds(&reading_at(110, 5_010, Some("another"))));
-    assert!(!anchor.holds(&reading_at(90, 5_010, Some("boot"))), "its monotonic clock began anew");
+    assert!(!anchor.is_valid_for(&reading_at(110, 5_010, Some("another"))));
+    assert!(!anchor.is_valid_for(&reading_at(90, 5_010, Some("boot"))), "the monotonic clock restarted");
     let unknown = TimeAnchor::new(&reading_at(100, 5_000, None));
-    assert!(!unknown.holds(&reading_at(110, 5_010, None)), "nobody knows of which boot it is");
+    assert!(!unknown.is_valid_for(&reading_at(110, 5_010, None)), "the boot of the anchor is unknown");
 }
 
 #[test]
-fn an_anchor_is_read_back_from_its_text() {
+fn anchor_is_parsed_from_its_displayed_form() {
     let anchor = TimeAnchor::new(&reading_at(100, 5_000, Some("boot")));
     assert_eq!(TimeAnchor::from_text(&anchor.to_string()), Some(anchor));
     for text in ["", "mountshift-clock-1 boot 1", "mountshift-clock-1 boot 1 x", "other boot 1 2"] {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn all_processes_read_one_monotonic_clock() {
+fn monotonic_readings_advance_like_instants() {
     let first = block_on(ClockReading::now(&RetryDeadlines::from_now()));
     let second = block_on(ClockReading::now(&RetryDeadlines::from_now()));
     let by_instant = second.instant - first.instant;
--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Follows discovery's endpoint list: one poll after the other, each waiting for what is newer than the list held.
+//! Client of discovery's endpoint list: consecutive polls, each of which waits for a revision newer than the one held.
 
 use crate::upstream::{HttpConnection, encode_request, exchange};
 use async_channel::Receiver;
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 const STATUS_OK: u16 = 200;
-/// A `Retry-After` beyond this would not fit a span; it is cut to what the schedule allows anyway.
+/// Upper bound of a `Retry-After` in seconds, so that it fits into a `Duration`. The poll schedule applies a lower one.
 const MAX_RETRY_AFTER_SECONDS: f64 = 1e6;
 
-/// An endpoint as the list describes it.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EndpointEntry {
     pub(crate) id: String,
@@ -24,28 +24,28 @@
     pub(crate) dst: u32,
     pub(crate) phase: Phase,
     pub(crate) size: f64,
-    /// When it last started, Unix milliseconds; 0 for long ago.
+    /// Time of the last start in Unix milliseconds; 0 if it was long ago.
     pub(crate) up_since_ms: u64,
 }
 
 /// The endpoint list, or an update to it.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EndpointList {
-    /// Who counts the revisions.
+    /// Address of the discovery instance that numbers the revisions.
     pub(crate) source: SocketAddr,
     pub(crate) revision: u64,
-    /// True for a full list, false for an update.
+    /// Whether this is a full list and not an update.
     pub(crate) is_full: bool,
     pub(crate) entries: Vec<EndpointEntry>,
 }
 
-/// Reads a list; entries that can't be read are left out with a log line. None if it is no list.
+/// Parses a list. Invalid entries are skipped with a log line. Returns `None` if the value is not a list.
 pub(crate) fn parse_list(json: &Value, source: SocketAddr) -> Option<EndpointList> {
     let mut entries = Vec::new();
     for member in json["members"].as_array()? {
         match parse_entry(member) {
             Some(entry) => entries.push(entry),
-            None => warn!("discovery: an entry can't be read: {member}"),
+            None => warn!("discovery: skipped an invalid entry of the list: {member}"),
         }
     }
     let revision = json["revision"].as_u64()?;
@@ -72,35 +72,35 @@
     })
 }
 
-/// Why a poll brought no list.
+/// Error of a poll.
 #[derive(Debug, thiserror::Error)]
 enum PollError {
     #[error("{0}")]
     NoAnswer(String),
-    #[error("status {status}")]
+    #[error("response with status {status}")]
     Status { status: u16, retry_after: Option<Duration> },
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    #[error("the list can't be read")]
+    #[error("the response is not an endpoint list")]
     NotAList,
 }
 
 impl PollError {
-    /// The `Retry-After` that discovery told.
+    /// Returns the `Retry-After` of the response, if any.
     fn retry_after(&self) -> Option<Duration> {
         if let PollError::Status { retry_after, .. } = self { *retry_after } else { None }
     }
 }
 
-/// What a poll waited for.
+/// Event that ended a poll.
 enum PollEnd {
     Answered(Result<EndpointList, PollError>),
-    /// Discovery is at another address from now on.
+    /// The address of discovery has changed.
     Moved(SocketAddr),
 }
 
-/// Discovery's next address. Once nobody can tell it any more this never ends, so that who waits goes on at the
-/// address it has: the relay still sends then, and what discovery tells binds as before (rule 3).
+/// Waits for a new address of discovery. Never returns once the channel is closed, so that the caller keeps using its
+/// current address: the relay still sends then, and updates from discovery remain binding (rule 3).
 pub(crate) async fn next_address(moves: &Receiver<SocketAddr>) -> SocketAddr {
     match moves.recv().await {
         Ok(address) => address,
@@ -108,19 +108,19 @@
     }
 }
 
-/// What the client is configured with.
+/// Configuration of the client.
 pub(crate) struct DiscoveryOptions {
     pub(crate) address: SocketAddr,
-    /// Tells of another address to poll from now on.
+    /// Channel of new addresses of discovery.
     pub(crate) moves: Receiver<SocketAddr>,
-    /// The revision of the list held at the start.
+    /// Revision of the list held.
     pub(crate) revision: Option<u64>,
-    /// Where the decisions say when to poll: their requests.
+    /// Poll requests of the policy, if it determines when to poll.
     pub(crate) poll_requests: Option<Receiver<()>>,
     pub(crate) max_list_bytes: usize,
-    /// Spreads the pauses after failed polls.
+    /// Jitter of the pauses after failed polls.
     pub(crate) jitter: Jitter,
-    /// How long a poll may wait, and when it is given up.
+    /// Timeouts of polls and pauses between them.
     pub(crate) schedule: PollSchedule,
 }
 
@@ -130,9 +130,9 @@
     connection: Option<HttpConnection>,
     consecutive_failures: u32,
     retry_after: Option<Duration>,
-    /// Discovery has answered the last poll at this address.
-    has_answered: bool,
-    /// The first poll waits for a request, where the decisions make any.
+    /// Whether the last poll at the current address returned a list.
+    has_responded: bool,
+    /// Whether the next poll is the first one, which waits for a poll request if the policy makes any.
     is_first: bool,
 }
 
@@ -144,17 +144,17 @@
             connection: None,
             consecutive_failures: 0,
             retry_after: None,
-            has_answered: false,
+            has_responded: false,
         }
     }
 
-    /// Runs to the end of the process. After a failed poll the next one starts by itself, or once asked for where
-    /// the decisions say when to poll. `on_result` hears of every list, and of the `Retry-After`, if any, of every
-    /// failed poll.
+    /// Polls until the process exits. After a failed poll, the next one starts after a pause, or at a poll request if
+    /// the policy determines when to poll. `on_result` is called with every list, and with the `Retry-After`, if any,
+    /// of every failed poll.
     pub(crate) async fn run(mut self, on_result: impl Fn(Result<EndpointList, Option<Duration>>)) {
         loop {
-            match self.poll_unless_moved().await {
-                PollEnd::Moved(address) => self.on_moved(address),
+            match self.poll_or_move().await {
+                PollEnd::Moved(address) => self.on_address_change(address),
                 PollEnd::Answered(Ok(list)) => {
                     self.on_list(&list);
                     on_result(Ok(list));
@@ -167,11 +167,11 @@
         }
     }
 
-    /// A poll that waits at an address where nothing is told any more is given up.
-    async fn poll_unless_moved(&mut self) -> PollEnd {
+    /// Polls discovery; abandons the poll if the address changes meanwhile.
+    async fn poll_or_move(&mut self) -> PollEnd {
         let moves = self.options.moves.clone();
         let moved = async { PollEnd::Moved(next_address(&moves).await) };
-        // With jitter, or a fleet that failed at one moment would keep discovery full by polling together.
+        // Without jitter, relays whose polls failed simultaneously would keep overloading discovery together.
         let jitter = self.options.jitter.sample();
         let pause = self.options.schedule.retry_delay(self.consecutive_failures, self.retry_after, jitter);
         let polled = async {
@@ -197,8 +197,8 @@
 
     async fn poll(&mut self) -> Result<EndpointList, PollError> {
         let address = self.options.address;
-        // The list held at first, or before a failed poll, may be old: what changed since is asked for at once.
-        let may_wait = self.has_answered && self.options.revision.is_some();
+        // A list from the configuration or from before a failed poll may be outdated, so the poll must not wait.
+        let may_wait = self.has_responded && self.options.revision.is_some();
         let PollTimeouts { wait, request_timeout: timeout } = self.options.schedule.poll_timeouts(may_wait);
         let path = match self.options.revision {
             Some(revision) => {
@@ -220,36 +220,36 @@
         parse_list(&json, address).ok_or(PollError::NotAList)
     }
 
-    /// The new address is polled at once, and for the full list: its revisions may be counted anew.
-    fn on_moved(&mut self, address: SocketAddr) {
+    /// Polls the new address at once and requests the full list, because its revision numbers may differ.
+    fn on_address_change(&mut self, address: SocketAddr) {
         self.options.address = address;
         self.options.revision = None;
-        self.has_answered = false;
+        self.has_responded = false;
         self.connection = None;
         self.consecutive_failures = 0;
         self.is_first = false;
     }
 
     fn on_list(&mut self, list: &EndpointList) {
-        let brings_news = list.is_full || !list.entries.is_empty();
-        let level = if brings_news { Level::Info } else { Level::Debug };
+        let is_change = list.is_full || !list.entries.is_empty();
+        let level = if is_change { Level::Info } else { Level::Debug };
         log!(level, "list {}: {} entries, whole: {}", list.revision, list.entries.len(), list.is_full);
         self.options.revision = Some(list.revision);
         self.consecutive_failures = 0;
-        self.has_answered = true;
+        self.has_responded = true;
         self.is_first = false;
     }
 
     fn on_failure(&mut self, error: &PollError) {
-        // Logged once, or an outage would fill the log.
+        // Logged once per series of failures, to bound the log during an outage.
         if self.consecutive_failures == 0 {
-            warn!("discovery: {error}");
+            warn!("discovery: poll failed: {error}");
         }
         self.connection = None;
         self.consecutive_failures += 1;
         self.retry_after = error.retry_after();
-        // What changed meanwhile is asked for at once: else the next wait would add to the time without news.
-        self.has_answered = false;
+        // The next poll must not wait for a change, or its wait would extend the time without updates.
+        self.has_responded = false;
         self.is_first = false;
     }
 }
--- a/crates/relay/src/error.rs
+++ b/crates/relay/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the relay did not start.
+//! Startup errors of the relay.
 
 use crate::startup::config::ConfigError;
 use mountshift_spool::SpoolError;
@@ -7,48 +7,50 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code for bad input: the operator has to change the configuration or the environment.
+/// Exit code for bad input: the operator has to change the configuration or the environment.
 const BAD_INPUT: u8 = 2;
-/// The exit code for everything else that keeps the relay from starting.
+/// Exit code for all other startup errors.
 const FAILURE: u8 = 1;
 
-/// Why the relay did not start. Displayed, each is one plain line.
+/// Startup error. The message is a single line.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartError {
     /// The configuration can't be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The inherited descriptor is no listening socket.
-    #[error("descriptor {descriptor}: {source}")]
+    /// The inherited descriptor is not a listening socket.
+    #[error("inherited descriptor {descriptor} is not a usable listening socket: {source}")]
     InheritedListener { descriptor: i32, source: io::Error },
-    /// The environment does not pass the descriptor on to this program.
-    #[error("descriptor {descriptor} is not named to the program (LISTEN_FDS, LISTEN_FDS_FIRST_FD)")]
+    /// The environment does not declare the descriptor as inherited.
+    #[error(
+        "descriptor {descriptor} is not named to the program: LISTEN_FDS and LISTEN_FDS_FIRST_FD don't include it"
+    )]
     ListenerNotInherited { descriptor: i32 },
-    /// Signals can't be received.
-    #[error("signals: {0}")]
+    /// The signal handlers can't be installed.
+    #[error("signals: can't install handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The clients' address can't be listened on.
-    #[error("{address}: {source}")]
+    /// The listening socket for clients can't be opened.
+    #[error("can't listen for clients on {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
-    /// The operators' address can't be listened on.
-    #[error("mgmt {address}: {source}")]
+    /// The listening socket for operators can't be opened.
+    #[error("mgmt: can't listen for operators on {address}: {source}")]
     AdminListen { address: SocketAddr, source: io::Error },
-    /// A file or folder of the relay's state can't be used.
-    #[error("{}: {source}", path.display())]
+    /// A file or folder of the relay's state is not accessible.
+    #[error("{}: not accessible: {source}", path.display())]
     State { path: PathBuf, source: io::Error },
     /// The spool can't be opened.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: can't open the spool: {source}", path.display())]
     Spool { path: PathBuf, source: SpoolError },
-    /// Two other processes run on the state folder.
-    #[error("{}: {reason}", path.display())]
+    /// Two other processes use the state folder.
+    #[error("{}: state folder not usable: {reason}", path.display())]
     StateDirInUse { path: PathBuf, reason: String },
     /// The merged spool can't be written.
-    #[error("spool: {0}")]
+    #[error("spool: can't write the merged spool: {0}")]
     MergeSpools(#[source] io::Error),
 }
 
 impl StartError {
-    /// The process's exit code.
+    /// Returns the exit code of the process.
     pub(crate) fn exit_code(&self) -> ExitCode {
         let code = match self {
             StartError::Config(_)
--- a/crates/relay/src/handover_marker.rs
+++ b/crates/relay/src/handover_marker.rs
@@ -1,7 +1,7 @@
-//! The marker of a handover: a file that an active process keeps locked from the moment on in which it hands over.
+//! Handover marker: a file that an active process keeps locked from the start of a handover.
 //!
-//! The kernel lets the lock go with its process, whatever becomes of the file. A marker that could not be removed, or that a
-//! killed process left, therefore says nothing.
+//! The kernel releases the lock when the process exits. An unlocked marker, for example one that could not be removed or
+//! was left by a killed process, therefore has no effect.
 
 use log::{error, info};
 use mountshift_handover::HANDING_OVER_FILE;
@@ -11,16 +11,16 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The extension of a marker that is being made.
-const UNFINISHED_EXTENSION: &str = "new";
+/// Extension of a marker that is being written.
+const TEMPORARY_EXTENSION: &str = "new";
 
-/// This process's marker, or the one of the active process beside it.
+/// The handover marker, written by the active process and read by its successor.
 #[derive(Clone)]
 pub(crate) struct HandoverMarker {
     path: PathBuf,
-    /// This process's marker; its lock is held while the file is open.
+    /// Locked marker of this process; the lock is held while the file is open.
     held: Rc<RefCell<Option<File>>>,
-    /// This process hands over, and could not say so yet.
+    /// Whether this process hands over but has failed to write the marker so far.
     is_pending: Rc<Cell<bool>>,
 }
 
@@ -33,38 +33,38 @@
         }
     }
 
-    /// Tells a successor that this process hands over; again and again until that could be written.
-    pub(crate) fn raise(&self, writer: &str) {
-        if let Err(e) = self.try_raise(writer) {
+    /// Writes the marker with the name of this process. A failed write is pending until a later call succeeds.
+    pub(crate) fn write(&self, writer: &str) {
+        if let Err(e) = self.try_write(writer) {
             if !self.is_pending.replace(true) {
-                error!("{}: {e}; tried again until it is written", self.path.display());
+                error!("{}: can't write the handover marker: {e}; will retry", self.path.display());
             }
             return;
         }
         if self.is_pending.replace(false) {
-            info!("{}: written after all", self.path.display());
+            info!("{}: handover marker written after retries", self.path.display());
         }
     }
 
-    /// True if this process hands over and could not say so yet.
+    /// Returns whether this process hands over but has failed to write the marker so far.
     pub(crate) fn is_pending(&self) -> bool {
         self.is_pending.get()
     }
 
-    /// Locked before it has its name, so that nobody sees it unlocked.
-    fn try_raise(&self, writer: &str) -> io::Result<()> {
-        let unfinished = self.path.with_extension(UNFINISHED_EXTENSION);
-        let mut file = File::create(&unfinished)?;
+    /// Writes and locks a temporary file before the rename, so that no process sees the marker unlocked.
+    fn try_write(&self, writer: &str) -> io::Result<()> {
+        let temporary = self.path.with_extension(TEMPORARY_EXTENSION);
+        let mut file = File::create(&temporary)?;
         file.write_all(writer.as_bytes())?;
         file.try_lock()?;
-        std::fs::rename(&unfinished, &self.path)?;
+        std::fs::rename(&temporary, &self.path)?;
         self.held.replace(Some(file));
         Ok(())
     }
 
-    /// The active process that hands over at this moment, by what it calls itself; none if none does. A marker that nobody
-    /// holds locked is one of a process that has ended, or of a version that locks none.
-    pub(crate) fn raised_by(&self) -> Option<String> {
+    /// Returns the name of the active process that is handing over, if any. An unlocked marker is ignored: its process
+    /// has exited, or is of a version that does not lock the marker.
+    pub(crate) fn writer(&self) -> Option<String> {
         let mut file = File::open(&self.path).ok()?;
         if !matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)) {
             return None;
@@ -74,12 +74,15 @@
         Some(writer)
     }
 
-    /// Removes what an earlier process left. It says nothing any more, so that a failure does no harm.
+    /// Removes the marker of an earlier process. A failure is harmless, because the marker is not locked.
     pub(crate) fn discard_leftover(&self) {
         if let Err(e) = std::fs::remove_file(&self.path)
             && e.kind() != io::ErrorKind::NotFound
         {
-            info!("{}: {e}; left in place, where it says nothing", self.path.display());
+            info!(
+                "{}: can't remove the handover marker of an earlier process: {e}; it is not locked and has no effect",
+                self.path.display()
+            );
         }
     }
 }
--- a/crates/relay/src/notifications.rs
+++ b/crates/relay/src/notifications.rs
@@ -91,7 +91,7 @@
     /// Runs until the queue is closed; `on_taken` hears of every notification that the platform took.
     pub(crate) async fn run(mut self, on_taken: impl Fn(Vec<MessageId>)) {
         while let Some(batch) = self.next_batch().await {
-            match self.call_unless_moved(&batch).await {
+            match self.call_or_move(&batch).await {
                 CallEnd::Moved(address) => {
                     // What has no answer yet goes to the new address, before all else.
                     self.move_to(address);
@@ -137,7 +137,7 @@
         self.connection = None;
     }
 
-    async fn call_unless_moved(&mut self, batch: &[Notification]) -> CallEnd {
+    async fn call_or_move(&mut self, batch: &[Notification]) -> CallEnd {
         let moves = self.moves.clone();
         let moved = async { CallEnd::Moved(next_address(&moves).await) };
         async { CallEnd::Answered(self.call(batch).await) }.or(moved).await
--- a/crates/relay/src/shutdown_rounds.rs
+++ b/crates/relay/src/shutdown_rounds.rs
@@ -1,35 +1,35 @@
-//! The last looks at events before a process ends: clients hear the answers that they are owed, nothing more is read.
+//! Final rounds of event processing before the process exits, in which pending replies are sent to clients.
 
 use async_io::Timer;
 use std::time::{Duration, Instant};
 
-/// The time for clients to hear the answers they are owed.
-const FINAL_ANSWERS_TIME: Duration = Duration::from_millis(80);
-/// Looks at events at the least, however late it is.
+/// Time for sending pending replies to clients.
+const FINAL_REPLIES_DURATION: Duration = Duration::from_millis(80);
+/// Minimum number of rounds, even after [`FINAL_REPLIES_DURATION`] has passed.
 const MIN_ROUNDS: u32 = 3;
-/// Between two looks.
+/// Pause between two rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Counts the last looks at events, and says when they are over.
+/// Counts the final rounds and determines the last one.
 pub(crate) struct ShutdownRounds {
     ends_at: Instant,
     rounds: u32,
 }
 
 impl ShutdownRounds {
-    /// The time begins now.
+    /// Starts the first round.
     pub(crate) fn start() -> ShutdownRounds {
-        ShutdownRounds { ends_at: Instant::now() + FINAL_ANSWERS_TIME, rounds: 0 }
+        ShutdownRounds { ends_at: Instant::now() + FINAL_REPLIES_DURATION, rounds: 0 }
     }
 
-    /// Waits for the next look. All other tasks have their turn meanwhile.
+    /// Waits for the next round, while all other tasks run.
     pub(crate) async fn wait_for_next(&mut self) {
         Timer::after(ROUND_INTERVAL).await;
         self.rounds += 1;
     }
 
-    /// True if the look just taken is the last one: nothing came and no client is left, or the time is over. A process
-    /// that was held up has had less than the time: the other tasks have their turns all the same.
+    /// Returns whether the current round is the last one: no event arrived and no client is connected, or the time has
+    /// passed. The minimum number of rounds lets other tasks run even if the process was suspended for that time.
     pub(crate) fn is_complete(&self, is_quiet: bool) -> bool {
         is_quiet || (Instant::now() >= self.ends_at && self.rounds >= MIN_ROUNDS)
     }
--- a/crates/relay/src/startup/config.rs
+++ b/crates/relay/src/startup/config.rs
@@ -46,7 +46,7 @@
     #[error("{variable} is not set and {path} has no text field {field}")]
     MissingText { variable: &'static str, path: String, field: &'static str },
     /// An address can't be parsed.
-    #[error("{field}: {text} is not an IP address with a port")]
+    #[error("{field}: {text} is no address: an IP address with a port is required")]
     BadAddress { field: &'static str, text: String },
     /// The file has no seed.
     #[error("{path}: seed is missing")]
@@ -58,7 +58,7 @@
     #[error("limits.{field}: {value} is not a positive number")]
     BadLimit { field: &'static str, value: Value },
     /// The descriptor of the inherited listening socket is invalid.
-    #[error("NODE_ACCEPT_FD: {text} is not a valid descriptor")]
+    #[error("NODE_ACCEPT_FD: {text} is no descriptor of a listening socket: a number above 2 is required")]
     BadDescriptor { text: String },
     /// The settings object is invalid.
     #[error("{path}: {reason}")]
--- a/crates/relay/src/state_files.rs
+++ b/crates/relay/src/state_files.rs
@@ -75,7 +75,7 @@
         retry_deadlines: &RetryDeadlines,
     ) -> Option<TimeAnchor> {
         let stored = self.read(ANCHOR_FILE, retry_deadlines).await;
-        stored.as_deref().and_then(TimeAnchor::from_text).filter(|anchor| anchor.holds(reading))
+        stored.as_deref().and_then(TimeAnchor::from_text).filter(|anchor| anchor.is_valid_for(reading))
     }
 
     /// Notes which Unix time belongs to which monotonic reading. Waited for: what is accepted before it is written would
@@ -140,12 +140,12 @@
 
     /// Tells a successor that this process sends nothing new from now on.
     pub(crate) fn write_handover_marker(&self) {
-        self.marker.raise(&self.process);
+        self.marker.write(&self.process);
     }
 
     /// The active process that hands over at this moment, by what it calls itself.
     pub(crate) fn handing_over_process(&self) -> Option<String> {
-        self.marker.raised_by()
+        self.marker.writer()
     }
 
     /// This process is the active one, and sends.
