--- a/crates/relay/src/handover_marker.rs
+++ b/crates/relay/src/handover_marker.rs
@@ -1,7 +1,7 @@
 //! Handover marker: a file that an active process keeps locked from the start of a handover.
 //!
-//! The kernel releases the lock when the process exits. An unlocked marker, for example one that could not be removed or
-//! was left by a killed process, therefore has no effect.
+//! The kernel releases the lock when the process exits. An unlocked marker, for example one that could not be removed
+//! or was left by a killed process, therefore has no effect.
 
 use log::{error, info};
 use mountshift_handover::HANDING_OVER_FILE;
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -1,5 +1,5 @@
-//! The relay on sockets: clients submit messages, endpoints receive them, `mountshift` decides. Everything runs on
-//! one thread. This module is the order of a start.
+//! The relay process: clients submit messages over sockets, endpoints receive them, and the `mountshift` policy makes
+//! all decisions. Everything runs on one thread. This module implements the startup sequence.
 #![forbid(unsafe_code)]
 
 mod acceptance;
@@ -44,7 +44,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// Idle connections to endpoints may take one part in so many of the descriptors.
+/// Divisor of the descriptor limit that gives the maximum number of idle connections to endpoints.
 const IDLE_DESCRIPTOR_DIVISOR: usize = 4;
 
 fn main() -> ExitCode {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Starts the relay, and runs it until it is told to stop.
+/// Starts the relay and runs it until it is stopped.
 fn start() -> Result<(), StartError> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(start_and_run(executor.clone())))
@@ -68,24 +68,24 @@
 
 async fn start_and_run(executor: Rc<LocalExecutor<'static>>) -> Result<(), StartError> {
     let retry_deadlines = RetryDeadlines::from_now();
-    // Before all else: a signal that comes during the start must not end the process.
+    // Must be the first step: a signal during startup must not end the process.
     let signals = retry_deadlines.retry_required(StartSignals::subscribe).await;
     let config = StartConfig::from_environment(&retry_deadlines).await?;
     let mut signals = signals.map_err(StartError::Signals)?;
-    let prepared = async { Some(prepare(config, executor, &retry_deadlines).await) };
+    let preparation = async { Some(prepare(config, executor, &retry_deadlines).await) };
     let stopped = async {
         signals.stop_requested().await;
         None
     };
-    if let Some(start) = prepared.or(stopped).await {
+    if let Some(start) = preparation.or(stopped).await {
         return run(start?, signals).await;
     }
-    info!("told to stop before it was ready");
+    info!("told to stop before the relay was ready");
     Ok(())
 }
 
-/// What a start has made ready.
-struct Start {
+/// Resources prepared by the startup.
+struct PreparedStart {
     config: StartConfig,
     state_dir: StateDir,
     files: StateFiles,
@@ -95,18 +95,18 @@
     listeners: Listeners,
 }
 
-/// Makes ready what clients can be served with. What fails for a moment is waited out.
+/// Prepares everything needed to serve clients; retries temporary errors.
 async fn prepare(
     config: StartConfig,
     executor: Rc<LocalExecutor<'static>>,
     retry_deadlines: &RetryDeadlines,
-) -> Result<Start, StartError> {
+) -> Result<PreparedStart, StartError> {
     let clients = client_listener(&config, retry_deadlines).await?;
     let state_dir = StateDir::open(&config.state_dir, retry_deadlines).await?;
     info!("{} starts as {:?}", config.name, state_dir.role);
     let initial_list = discovery::parse_list(&config.initial_list, config.discovery);
     if initial_list.is_none() {
-        warn!("the configuration's known list can't be read; discovery is asked for the whole list");
+        warn!("the known list of the configuration is invalid; requesting the full list from discovery");
     }
     let files = StateFiles::new(&config);
     let stored_time = match state_dir.role {
@@ -117,10 +117,10 @@
     let admin = admin_listener(&config, retry_deadlines).await?;
     let tasks = RelayTasks::new(executor, maintenance);
     let listeners = Listeners { clients, admin };
-    Ok(Start { config, state_dir, files, stored_time, initial_list, tasks, listeners })
+    Ok(PreparedStart { config, state_dir, files, stored_time, initial_list, tasks, listeners })
 }
 
-/// The maintenance commands of the process before; they may name every endpoint of the list.
+/// Restores the maintenance state of the previous process; commands may refer to the endpoints of the initial list.
 async fn restore_maintenance(
     files: &StateFiles,
     initial_list: Option<&EndpointList>,
@@ -133,15 +133,19 @@
     maintenance
 }
 
-/// What the process before left beside the spool.
-struct EarlierState {
-    /// Of its routes, where that still binds.
+/// State of the previous process, apart from the spool.
+struct PreviousState {
+    /// Snapshot of its routes, if still valid.
     snapshot: Option<Snapshot>,
     drain_record: DrainRecord,
 }
 
-/// Reads what the process before left beside the spool; what no longer counts is removed.
-async fn read_earlier_state(files: &StateFiles, role: Role, previous_process: Option<&str>) -> EarlierState {
+/// Reads the state of the previous process, apart from the spool, and removes files that are no longer valid.
+async fn read_previous_state(
+    files: &StateFiles,
+    role: Role,
+    previous_process: Option<&str>,
+) -> PreviousState {
     let retry_deadlines = RetryDeadlines::from_now();
     files.discard_handover_marker();
     let snapshot = if mountshift_handover::reads_snapshot(role) {
@@ -150,12 +154,12 @@
         files.discard_snapshot();
         None
     };
-    EarlierState { snapshot, drain_record: files.read_drain_record(&retry_deadlines).await }
+    PreviousState { snapshot, drain_record: files.read_drain_record(&retry_deadlines).await }
 }
 
-/// Serves clients at once, and dispatches once this process is the active one.
-async fn run(start: Start, signals: StartSignals) -> Result<(), StartError> {
-    let Start { config, mut state_dir, files, stored_time, initial_list, tasks, listeners } = start;
+/// Serves clients at once, and runs the dispatcher once this process is the active one.
+async fn run(start: PreparedStart, signals: StartSignals) -> Result<(), StartError> {
+    let PreparedStart { config, mut state_dir, files, stored_time, initial_list, tasks, listeners } = start;
     tasks.spawn_all(&config, &state_dir, initial_list.as_ref(), listeners, signals);
     tasks.maintenance.borrow_mut().set_serving();
     info!("ready on {}", config.listen);
@@ -166,9 +170,9 @@
     state_dir.release_successor_lock();
     let successor_spool = SuccessorSpool::new(&config, &state_dir);
     let previous_process = previous_process.as_deref();
-    let reading = async { Ok(read_earlier_state(&files, state_dir.role, previous_process).await) };
-    let earlier = await_while_serving(&tasks, &mut deferred_events, reading).await?;
-    let Some(EarlierState { snapshot, drain_record }) = earlier else { return Ok(()) };
+    let reading = async { Ok(read_previous_state(&files, state_dir.role, previous_process).await) };
+    let previous = await_while_serving(&tasks, &mut deferred_events, reading).await?;
+    let Some(PreviousState { snapshot, drain_record }) = previous else { return Ok(()) };
     tasks.is_active.set(true);
     info!("{} starts with {} messages in its spool", config.name, spool.messages().len());
     let dispatcher = Dispatcher::new(Dependencies {
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What operators can measure of the process: Prometheus text at the second address (`GET /metrics`).
+//! Metrics of the process in the Prometheus text format, served at the second address (`GET /metrics`).
 
 use crate::violations::{ViolationKind, Violations};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -11,16 +11,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// No key has rested yet.
+/// Value of the gauge `shortest_key_gap_ms` before the first hold-off of an ordering key.
 const NO_KEY_GAP: i64 = -1;
 
-/// The label of a counter by kind, outcome or reason.
+/// Label of a counter by kind, outcome or reason.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct Label {
     kind: String,
 }
 
-/// The metrics that the tasks of the relay write.
+/// Metrics written by the tasks of the relay.
 #[derive(Default)]
 pub(crate) struct Metrics {
     registry: RefCell<Registry>,
@@ -30,7 +30,7 @@
     counters: Counters,
 }
 
-/// What is so now.
+/// Current values.
 #[derive(Default)]
 struct Gauges {
     client_connections: Gauge,
@@ -40,7 +40,7 @@
     shortest_key_gap_ms: Gauge,
 }
 
-/// What has happened so far.
+/// Numbers of events since the start.
 #[derive(Default)]
 struct Counters {
     violations: Family<Label, Counter>,
@@ -63,21 +63,21 @@
         metrics
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub(crate) fn to_text(&self) -> String {
         self.gauges.client_connections.set(self.client_connections.get() as i64);
         for kind in ViolationKind::ALL {
             let counter = self.counters.violations.get_or_create(&label(kind.name()));
-            let missing = self.violations.count(kind) - counter.get();
-            counter.inc_by(missing);
+            let uncounted = self.violations.count(kind) - counter.get();
+            counter.inc_by(uncounted);
         }
         let mut text = String::new();
-        // Writing to a text does not fail.
+        // Writing to a `String` does not fail.
         let _ = encode(&mut text, &self.registry.borrow());
         text
     }
 
-    /// Notes how the dispatcher stands after a step.
+    /// Sets the gauges of the dispatcher after a step.
     pub(crate) fn set_dispatcher_state(
         &self,
         held_messages: usize,
@@ -101,12 +101,12 @@
         self.counters.connections_closed.get_or_create(&label(reason)).inc();
     }
 
-    /// A key rests behind an attempt that may still be running and ended like this.
+    /// Counts a hold-off of an ordering key after an attempt with this outcome that may still be running.
     pub(crate) fn count_key_rest(&self, outcome: &str) {
         self.counters.key_rests.get_or_create(&label(outcome)).inc();
     }
 
-    /// The next message of a key goes out so long after the end of an attempt that may still be running.
+    /// Records the time from the end of an attempt that may still be running to the next message of its ordering key.
     pub(crate) fn observe_key_gap(&self, gap: Duration) {
         let gap_ms = gap.as_millis() as i64;
         let gauge = &self.gauges.shortest_key_gap_ms;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A message was rejected, as another one is held or has ended under its id.
+    /// Counts a message rejected because another message with the same id is held or has ended.
     pub(crate) fn count_id_conflict(&self) {
         self.counters.id_conflicts.inc();
     }
--- a/crates/relay/src/notifications.rs
+++ b/crates/relay/src/notifications.rs
@@ -1,4 +1,4 @@
-//! Notifications of final outcomes that are no delivery: sent to the platform, again until each is taken.
+//! Notifications of final outcomes other than deliveries, sent to the platform until each one is accepted.
 
 use crate::discovery::next_address;
 use crate::upstream::{HttpConnection, encode_request, exchange};
@@ -12,29 +12,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes of an answer at most; the platform's are empty.
-const MAX_ANSWER_BYTES: usize = 64 * 1024;
-/// An answer that has not come by then will not come.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Between a call that failed and the next one.
+/// Maximum size of a response in bytes; the platform normally responds without a body.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Notifications in one call at most.
+/// Maximum number of notifications in a call.
 const MAX_BATCH: usize = 500;
-/// The platform took the whole call.
-const STATUS_TAKEN: u16 = 204;
-/// The platform can't read a notification of the call.
-const STATUS_UNREADABLE: u16 = 400;
+/// Status code of a call whose notifications were all accepted.
+const STATUS_ACCEPTED: u16 = 204;
+/// Status code of a call with an invalid notification.
+const STATUS_INVALID: u16 = 400;
 
-/// The final outcome of a message, for the platform.
+/// Notification of the final outcome of a message.
 pub(crate) struct Notification {
     pub(crate) message: MessageId,
-    /// The id that the client gave the message.
+    /// Id assigned by the client.
     pub(crate) id: Vec<u8>,
     pub(crate) outcome: FinalOutcome,
 }
 
 impl Notification {
-    /// The line that tells it on the wire.
+    /// Encodes the notification as a line.
     fn line(&self) -> String {
         let id = String::from_utf8_lossy(&self.id);
         let line = match self.outcome {
@@ -46,28 +46,28 @@
     }
 }
 
-/// The status of the platform's answer, or why there is none.
+/// Status code of the response, or the error of the call.
 type CallResult = Result<u16, String>;
 
-/// How a call ended.
+/// Result of a call.
 enum CallEnd {
     Answered(CallResult),
-    /// The platform is at another address from now on; the call was given up.
+    /// The address of the platform has changed; the call was abandoned.
     Moved(SocketAddr),
 }
 
-/// Sends notifications to the platform.
+/// Client that sends notifications to the platform.
 pub(crate) struct Notifier {
     address: SocketAddr,
-    /// Tells of another address from now on.
+    /// Channel of new addresses of the platform.
     moves: Receiver<SocketAddr>,
     queue: Receiver<Notification>,
-    /// Taken off the queue, and not taken by the platform yet.
+    /// Notifications removed from the queue but not accepted by the platform yet.
     waiting: Vec<Notification>,
     connection: Option<HttpConnection>,
     consecutive_failures: u32,
-    /// Notifications in the next call at most. After a 400 they go one by one, so that one that can't be read does
-    /// not hold the others back.
+    /// Maximum number of notifications in the next call. Set to 1 after a response with status 400, so that an invalid
+    /// notification does not block the others.
     batch_limit: usize,
 }
 
@@ -88,26 +88,26 @@
         }
     }
 
-    /// Runs until the queue is closed; `on_taken` hears of every notification that the platform took.
-    pub(crate) async fn run(mut self, on_taken: impl Fn(Vec<MessageId>)) {
+    /// Runs until the queue is closed; calls `on_accepted` with the messages of the accepted notifications.
+    pub(crate) async fn run(mut self, on_accepted: impl Fn(Vec<MessageId>)) {
         while let Some(batch) = self.next_batch().await {
             match self.call_or_move(&batch).await {
                 CallEnd::Moved(address) => {
-                    // What has no answer yet goes to the new address, before all else.
+                    // Notifications without a response go to the new address first.
                     self.move_to(address);
                     self.waiting.splice(0..0, batch);
                 }
-                CallEnd::Answered(Ok(STATUS_TAKEN)) => {
-                    on_taken(batch.iter().map(|notification| notification.message).collect());
+                CallEnd::Answered(Ok(STATUS_ACCEPTED)) => {
+                    on_accepted(batch.iter().map(|notification| notification.message).collect());
                     self.batch_limit = MAX_BATCH.min(self.batch_limit * 2);
                     self.consecutive_failures = 0;
                 }
-                CallEnd::Answered(result) => self.on_not_taken(batch, result).await,
+                CallEnd::Answered(result) => self.on_not_accepted(batch, result).await,
             }
         }
     }
 
-    /// What goes into the next call; none once the queue is closed.
+    /// Returns the notifications of the next call, or `None` once the queue is closed.
     async fn next_batch(&mut self) -> Option<Vec<Notification>> {
         if self.waiting.is_empty() {
             self.waiting.push(self.queue.recv().await.ok()?);
@@ -122,7 +122,7 @@
         Some(self.waiting.drain(..size).collect())
     }
 
-    /// How many of those waiting go into the next call: at least one, none that makes it too large.
+    /// Returns the number of waiting notifications that fit into the next call, at least one.
     fn next_batch_size(&self) -> usize {
         let mut bytes = 0;
         let fitting = self.waiting.iter().take(self.batch_limit).take_while(|notification| {
@@ -147,18 +147,18 @@
         let body: String = batch.iter().map(Notification::line).collect();
         let bytes = encode_request("POST", "/status", &self.address.to_string(), &[], body.as_bytes());
         let answer =
-            exchange(&mut self.connection, self.address, "notices", &bytes, MAX_ANSWER_BYTES, ANSWER_TIMEOUT)
+            exchange(&mut self.connection, self.address, "notices", &bytes, MAX_RESPONSE_BYTES, CALL_TIMEOUT)
                 .await;
         answer.map(|answer| answer.status).map_err(|e| e.to_string())
     }
 
-    async fn on_not_taken(&mut self, batch: Vec<Notification>, result: CallResult) {
-        // Logged once, or an outage would fill the log.
+    async fn on_not_accepted(&mut self, batch: Vec<Notification>, result: CallResult) {
+        // Logged once per series of failures, to bound the log during an outage.
         if self.consecutive_failures == 0 {
-            warn!("notices: {} of them not taken: {result:?}", batch.len());
+            warn!("notices: {} notifications not accepted by the platform: {result:?}", batch.len());
         }
         self.consecutive_failures += 1;
-        if result == Ok(STATUS_UNREADABLE) {
+        if result == Ok(STATUS_INVALID) {
             self.batch_limit = 1;
         }
         if result.is_err() {
--- a/crates/relay/src/signals.rs
+++ b/crates/relay/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGHUP moves discovery to the address that the configuration file names now, SIGTERM and SIGINT stop the
+//! Signal handling: SIGHUP reloads the address of discovery from the configuration file, SIGTERM and SIGINT stop the
 //! relay.
 
 use crate::clients::ACCEPT_PAUSE;
@@ -19,23 +19,24 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A new configuration that can't be read is tried again after this pause.
+/// Pause between attempts to read a new configuration.
 const RELOAD_RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// The signals of a process that starts.
+
+/// Signals received during startup.
 pub(crate) struct StartSignals {
     pub(crate) signals: Signals,
-    /// When a new configuration was told while the process started: it may have read the old one.
+    /// Time of a SIGHUP received during startup, when the old configuration may already have been read.
     pub(crate) reload_pending_since: Option<Instant>,
 }
 
 impl StartSignals {
-    /// Takes the signals over from the system's defaults, which would end the process.
+    /// Installs handlers in place of the default actions, which would end the process.
     pub(crate) fn subscribe() -> io::Result<StartSignals> {
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
         Ok(StartSignals { signals, reload_pending_since: None })
     }
 
-    /// Waits until the process is told to stop.
+    /// Waits for SIGTERM or SIGINT.
     pub(crate) async fn stop_requested(&mut self) {
         loop {
             match self.signals.next().await {
@@ -50,35 +51,35 @@
     }
 }
 
-/// Handles signals for as long as the process runs.
+/// Handles signals until the process exits.
 pub(crate) struct SignalHandler {
-    /// Discovery's address now.
+    /// Current address of discovery.
     pub(crate) discovery: SocketAddr,
-    /// To each task that talks to discovery: its new address.
+    /// Channels of the tasks that need new addresses of discovery.
     pub(crate) discovery_moves: Vec<Sender<SocketAddr>>,
     pub(crate) events: Sender<Event>,
-    /// Closed when client connections are to go.
+    /// Channel that is closed when the relay stops accepting and starts to close client connections.
     pub(crate) clients_stopping: Sender<()>,
-    /// True once this process is the active one: only that one hands over.
+    /// Whether this process is the active one. Only the active process hands over.
     pub(crate) is_active: Rc<Cell<bool>>,
-    /// Where a successor holds its lock.
+    /// Folder in which a successor holds its lock.
     pub(crate) successor_path: PathBuf,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) is_stopping: bool,
-    /// Since when a new configuration could not be read.
+    /// Time since which a new configuration can't be read.
     pub(crate) reload_pending_since: Option<Instant>,
 }
 
-/// What the handler waits for.
+/// Event that wakes the handler.
 enum Wakeup {
     Signal(Option<io::Result<Signal>>),
-    /// It is time to read the new configuration again.
+    /// A new attempt to read the configuration is due.
     RetryReload,
 }
 
 impl SignalHandler {
-    /// Reads signals to the end of the process, also while it stops: discovery may move until then. An error of the
-    /// stream is no reason to stop.
+    /// Handles signals until the process exits, also while it is stopping, because the address of discovery may still
+    /// change. Errors of the signal stream do not stop the process.
     pub(crate) async fn run(mut self, mut signals: Signals) {
         loop {
             match self.next_wakeup(&mut signals).await {
@@ -88,14 +89,14 @@
                     self.on_reload();
                 }
                 Wakeup::Signal(Some(Ok(_))) if self.is_stopping => {
-                    info!("told to stop again, while stopping");
+                    info!("told to stop again while already stopping");
                 }
                 Wakeup::Signal(Some(Ok(_))) => self.on_stop().await,
                 Wakeup::Signal(Some(Err(e))) => {
-                    error!("signals: {e}");
+                    error!("signals: can't read the next signal: {e}");
                     Timer::after(ACCEPT_PAUSE).await;
                 }
-                Wakeup::Signal(None) => return error!("signals: no more of them can be read"),
+                Wakeup::Signal(None) => return error!("signals: the signal stream has ended"),
             }
         }
     }
@@ -112,8 +113,7 @@
         signal.or(retry).await
     }
 
-    /// A file that can't be read as a whole may be so for a moment: the system is short of something, or it is being
-    /// written.
+    /// Schedules a retry if the error may be temporary: the system lacks resources, or the file is being written.
     fn on_reload_failed(&mut self, error: &ConfigError) {
         if !error.is_retryable_at_reload() {
             self.reload_pending_since = None;
@@ -121,12 +121,12 @@
         }
         match self.reload_pending_since {
             None => {
-                error!("the new configuration is not used: {error}; it is tried again for a while");
+                error!("the new configuration is not used: {error}; will retry for a limited time");
                 self.reload_pending_since = Some(Instant::now());
             }
             Some(since) if since.elapsed() < RELOAD_RETRY_TIMEOUT => {}
             Some(_) => {
-                error!("the new configuration is given up: {error}");
+                error!("the new configuration is ignored after repeated failures: {error}");
                 self.reload_pending_since = None;
             }
         }
@@ -140,23 +140,23 @@
         self.reload_pending_since = None;
         let before = self.discovery;
         if address == before {
-            info!("told to read the configuration: discovery stays at {address}");
+            info!("told to reload the configuration: discovery stays at {address}");
             return;
         }
-        info!("told to read the configuration: discovery moves from {before} to {address}");
+        info!("told to reload the configuration: discovery moves from {before} to {address}");
         self.discovery = address;
         for moves in &self.discovery_moves {
             let _ = moves.try_send(address);
         }
     }
 
-    /// With a successor beside it an active process hands over; any other stop is for a restart.
+    /// Stops the relay: an active process with a successor hands over, any other process prepares for a restart.
     async fn on_stop(&mut self) {
         self.is_stopping = true;
         let has_successor = self.is_active.get() && is_locked_by_another(&self.successor_path);
         let plan = mountshift_handover::stop_plan(has_successor);
-        let how = if plan.is_handover { "with a process beside it" } else { "for a restart" };
-        info!("told to stop, {how}");
+        let purpose = if plan.is_handover { "with a process beside it" } else { "for a restart" };
+        info!("told to stop, {purpose}");
         let _ = self.events.send(Event::StopRequested(plan)).await;
         let clients_stopping = self.clients_stopping.clone();
         let leave_later = async move {
--- a/crates/relay/src/startup/tasks.rs
+++ b/crates/relay/src/startup/tasks.rs
@@ -145,8 +145,8 @@
     fn spawn_notifier(&self, config: &StartConfig, moves: Receiver<SocketAddr>) {
         let notifier = Notifier::new(config.discovery, moves, self.notifications.1.clone());
         let events = self.events.0.clone();
-        let on_taken = move |messages| drop(events.try_send(Event::NotificationsTaken(messages)));
-        self.executor.spawn(notifier.run(on_taken)).detach();
+        let on_accepted = move |messages| drop(events.try_send(Event::NotificationsTaken(messages)));
+        self.executor.spawn(notifier.run(on_accepted)).detach();
     }
 
     fn client_service(&self, config: &StartConfig) -> Rc<ClientService> {
--- a/crates/relay/src/state_files.rs
+++ b/crates/relay/src/state_files.rs
@@ -1,6 +1,6 @@
-//! The small files in the state folder: the time anchor, endpoints in maintenance, the handover snapshot, the drain
-//! record. The spool has its own crate. A file that can't be written is logged, and written again until it is: the relay
-//! serves without it, and only a later process would lack what the file tells.
+//! Small files in the state folder: the time anchor, endpoints in maintenance, the handover snapshot, the drain record.
+//! The spool has its own crate. A failed write is logged and retried until it succeeds: the relay can serve without the
+//! file, and only a later process would lack its contents.
 
 use crate::clock::{ClockReading, StoredTime, TimeAnchor};
 use crate::handover_marker::HandoverMarker;
@@ -16,22 +16,22 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The file of the time anchor.
+/// File of the time anchor.
 const ANCHOR_FILE: &str = "clock";
-/// The file of endpoints in maintenance, an id a line.
+/// File of the endpoints in maintenance, one id per line.
 const MAINTENANCE_FILE: &str = "maintenance";
-/// The extension of a file that is being written.
-const UNFINISHED_EXTENSION: &str = "new";
+/// Extension of a file that is being written.
+const TEMPORARY_EXTENSION: &str = "new";
 
-/// The small files in the state folder.
+/// Access to the small files in the state folder.
 #[derive(Clone)]
 pub(crate) struct StateFiles {
     dir: PathBuf,
     drain_record_max_bytes: usize,
-    /// What this process calls itself: no other process of this boot has the name.
+    /// Name of this process, unique within the boot.
     process: Rc<str>,
     marker: HandoverMarker,
-    /// Files that could not be written, with what they have to hold.
+    /// Names and contents of files whose last write failed.
     unwritten: Rc<RefCell<BTreeMap<&'static str, String>>>,
 }
 
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The time line of all that is stored: the anchor that an earlier process of this boot left, else a new one. For the
-    /// active process.
+    /// Returns the time line of stored times for the active process, from the anchor of an earlier process of this boot
+    /// or else from a new one.
     pub(crate) async fn stored_time(&self, retry_deadlines: &RetryDeadlines) -> StoredTime {
         let reading = ClockReading::now(retry_deadlines).await;
         let anchor = match self.read_anchor(&reading, retry_deadlines).await {
@@ -57,18 +57,21 @@
         StoredTime::new(&anchor, &reading)
     }
 
-    /// The time line for a successor: the active process's. Where that can't be read it has one of its own for now, which
-    /// it must not write down: all that the active process has stored would be dated anew.
+    /// Returns the time line for a successor, from the anchor of the active process. If that can't be read, returns an
+    /// unshared time line. A successor must not write an anchor, which would change the meaning of all times stored by
+    /// the active process.
     pub(crate) async fn stored_time_as_successor(&self, retry_deadlines: &RetryDeadlines) -> StoredTime {
         let reading = ClockReading::now(retry_deadlines).await;
         if let Some(anchor) = self.read_anchor(&reading, retry_deadlines).await {
             return StoredTime::new(&anchor, &reading);
         }
-        info!("{ANCHOR_FILE}: not to be had; messages in order are accepted once this process is active");
+        info!(
+            "{ANCHOR_FILE}: no valid time anchor; messages in order are accepted once this process is active"
+        );
         StoredTime::unshared(&reading)
     }
 
-    /// The anchor that an earlier process of this boot left.
+    /// Reads the anchor of an earlier process of this boot.
     async fn read_anchor(
         &self,
         reading: &ClockReading,
@@ -78,10 +81,12 @@
         stored.as_deref().and_then(TimeAnchor::from_text).filter(|anchor| anchor.is_valid_for(reading))
     }
 
-    /// Notes which Unix time belongs to which monotonic reading. Waited for: what is accepted before it is written would
-    /// be dated by the next process's wall clock.
+    /// Writes a new anchor, with retries: the times of messages accepted before it is written would be interpreted by
+    /// the wall clock of the next process.
     async fn write_anchor(&self, anchor: TimeAnchor, retry_deadlines: &RetryDeadlines) -> TimeAnchor {
-        info!("times that are stored count from now on by the monotonic clock of this boot");
+        info!(
+            "{ANCHOR_FILE}: new time anchor; stored times are now based on the monotonic clock of this boot"
+        );
         let (path, text) = (self.dir.join(ANCHOR_FILE), anchor.to_string());
         if let Err(e) = retry_deadlines.retry_optional(|| replace_file(&path, &text)).await {
             self.record_unwritten(ANCHOR_FILE, &text, &e);
@@ -89,19 +94,18 @@
         anchor
     }
 
-    /// The endpoints in maintenance as written; none is, where there is no file.
+    /// Reads the file of endpoints in maintenance; returns an empty text if there is none.
     pub(crate) async fn read_maintenance(&self, retry_deadlines: &RetryDeadlines) -> String {
         self.read(MAINTENANCE_FILE, retry_deadlines).await.unwrap_or_default()
     }
 
-    /// Writes the endpoints in maintenance, for the next process and for one beside this.
+    /// Writes the endpoints in maintenance, for a successor and for the next process.
     pub(crate) fn write_maintenance(&self, maintenance: &MaintenanceState) {
         self.replace(MAINTENANCE_FILE, &maintenance.to_text());
     }
 
-    /// What the process before left of its routes; none where it left nothing, or where another one is known to have written
-    /// it. A file that can't be read is no reason to end: the process before has ended, and nobody else would serve. The
-    /// relay goes on as after a restart.
+    /// Reads the route snapshot of the previous process; returns `None` if there is none or if another process wrote
+    /// it. An unreadable file is not fatal: the previous process has exited, so this one must serve, as after a restart.
     pub(crate) async fn read_snapshot(
         &self,
         previous_process: Option<&str>,
@@ -112,7 +116,7 @@
         match Snapshot::from_json(&text) {
             Ok(snapshot) if snapshot.may_be_written_by(previous_process) => Some(snapshot),
             Ok(_) => {
-                info!("{}: not of the process before, left out", path.display());
+                info!("{}: ignored, not written by the previous process", path.display());
                 None
             }
             Err(e) => {
@@ -122,39 +126,39 @@
         }
     }
 
-    /// Writes what a later process has to know of the routes, all of it.
+    /// Writes the complete snapshot of the routes for a later process.
     pub(crate) fn write_snapshot(&self, written_ms: u64, routes: Vec<RouteRecord>) {
         let writer = Some(self.process.to_string());
         let snapshot = Snapshot { format: FORMAT, writer, written_ms, routes };
         self.replace(SNAPSHOT_FILE, &snapshot.to_json());
     }
 
-    /// Removes the snapshot: left in place, the next handover would restore waits of a process long gone. What can't be
-    /// removed is replaced as soon as that can be done.
+    /// Removes the snapshot, or the next handover would restore outdated waits. If it can't be removed, it is replaced
+    /// by an empty one, with retries.
     pub(crate) fn discard_snapshot(&self) {
         if let Err(e) = remove_if_present(&self.dir.join(SNAPSHOT_FILE)) {
-            info!("{SNAPSHOT_FILE}: {e}; replaced by an empty one");
+            info!("{SNAPSHOT_FILE}: can't remove the old snapshot: {e}; replacing it by an empty one");
             self.write_snapshot(0, Vec::new());
         }
     }
 
-    /// Tells a successor that this process sends nothing new from now on.
+    /// Writes the marker that tells a successor that this process starts no more calls.
     pub(crate) fn write_handover_marker(&self) {
         self.marker.write(&self.process);
     }
 
-    /// The active process that hands over at this moment, by what it calls itself.
+    /// Returns the name of the active process that is handing over, if any.
     pub(crate) fn handing_over_process(&self) -> Option<String> {
         self.marker.writer()
     }
 
-    /// This process is the active one, and sends.
+    /// Removes the handover marker of an earlier process when this one becomes active.
     pub(crate) fn discard_handover_marker(&self) {
         self.marker.discard_leftover();
     }
 
-    /// Endpoints that earlier processes knew to be draining or removed. What can't be read is left out: the rest
-    /// still counts, and discovery is asked before anything is sent.
+    /// Reads the record of endpoints known to be draining or removed. Unreadable lines are skipped: the others remain
+    /// valid, and discovery is polled before anything is sent.
     pub(crate) async fn read_drain_record(&self, retry_deadlines: &RetryDeadlines) -> DrainRecord {
         let text = self.read(DRAIN_RECORD_FILE, retry_deadlines).await.unwrap_or_default();
         let ParsedDrainRecord { record, unreadable_lines } = DrainRecord::from_text(&text);
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Tries again to write what could not be written.
+    /// Retries the failed writes.
     pub(crate) fn retry_unwritten(&self) {
         if self.marker.is_pending() {
             self.write_handover_marker();
@@ -181,64 +185,64 @@
         for (name, text) in unwritten {
             let path = self.dir.join(name);
             if replace_file(&path, &text).is_ok() {
-                info!("{}: written after all", path.display());
+                info!("{}: written after retries", path.display());
             } else {
                 self.unwritten.borrow_mut().insert(name, text);
             }
         }
     }
 
-    /// True if a file is still to be written.
+    /// Returns whether the last write of any file has failed.
     pub(crate) fn has_unwritten(&self) -> bool {
         self.marker.is_pending() || !self.unwritten.borrow().is_empty()
     }
 
-    /// True once the time anchor is written: before that nothing that is stored may be relied on.
+    /// Returns whether the time anchor is written. Before that, stored times have no meaning for a later process.
     pub(crate) fn is_anchor_written(&self) -> bool {
         !self.unwritten.borrow().contains_key(ANCHOR_FILE)
     }
 
-    /// What a file holds; none if there is none, or if it can't be read for as long as a start can wait.
+    /// Reads a file; returns `None` if it does not exist or can't be read within the retry deadline.
     async fn read(&self, name: &str, retry_deadlines: &RetryDeadlines) -> Option<String> {
         let path = self.dir.join(name);
         match retry_deadlines.retry_optional(|| read_if_present(&path)).await {
             Ok(bytes) => bytes.map(|bytes| String::from_utf8_lossy(&bytes).into_owned()),
             Err(e) => {
-                error!("{}: {e}", path.display());
+                error!("{}: can't be read: {e}; continuing without it", path.display());
                 None
             }
         }
     }
 
-    /// Replaces a file, now or as soon as that can be done.
+    /// Replaces a file; a failed write is retried later.
     fn replace(&self, name: &'static str, text: &str) {
         match replace_file(&self.dir.join(name), text) {
-            // What an earlier try was to write is out of date.
+            // The contents of an earlier failed write are outdated.
             Ok(()) => drop(self.unwritten.borrow_mut().remove(name)),
             Err(e) => self.record_unwritten(name, text, &e),
         }
     }
 
-    /// Logged once, or a full disk would fill the log.
+    /// Records a failed write; logs only the first failure of a file, to bound the log while the disk is full.
     fn record_unwritten(&self, name: &'static str, text: &str, error: &io::Error) {
         let earlier = self.unwritten.borrow_mut().insert(name, text.to_string());
         if earlier.is_none() {
-            error!("{}: {error}; tried again until it is written", self.dir.join(name).display());
+            error!("{}: can't be written: {error}; will retry", self.dir.join(name).display());
         }
     }
 }
 
-/// A name that no other process of this boot has.
+/// Returns a process name that is unique within this boot.
 fn process_name() -> String {
     let started = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     format!("{}-{}.{:09}", std::process::id(), started.tv_sec, started.tv_nsec)
 }
 
-/// Replaces a file whole or not at all.
+/// Replaces a file atomically.
 fn replace_file(path: &Path, text: &str) -> io::Result<()> {
-    let unfinished = path.with_extension(UNFINISHED_EXTENSION);
-    std::fs::write(&unfinished, text)?;
-    std::fs::rename(&unfinished, path)
+    let temporary = path.with_extension(TEMPORARY_EXTENSION);
+    std::fs::write(&temporary, text)?;
+    std::fs::rename(&temporary, path)
 }
 
 fn read_if_present(path: &Path) -> io::Result<Option<Vec<u8>>> {
--- a/crates/relay/src/successor.rs
+++ b/crates/relay/src/successor.rs
@@ -1,6 +1,6 @@
-//! The intake of a successor: a process that starts beside the active one. It answers clients, keeps what they submit
-//! in a spool of its own and sends nothing, until the active process has ended. Who is active and what a successor
-//! accepts is decided in `mountshift_handover`.
+//! Intake of a successor, a process started while another one is active. Until the active process exits, the successor
+//! serves clients, stores their submissions in its own spool and sends nothing. `mountshift_handover` determines which
+//! process is active and which messages a successor accepts.
 
 use crate::acceptance::Acceptances;
 use crate::clients::{ClientSubmission, SubmissionError, SubmissionReply};
@@ -24,53 +24,56 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The numbers of a successor's messages, as its clients' connections know them, begin here. Once it is active its
-/// messages are numbered anew: a client that is unreachable by then must not withdraw another's message.
+/// First message number of a successor, as used by its client connections. Its messages are renumbered once it is
+/// active, so these numbers must not overlap with the new ones: an unreachable client would otherwise withdraw the wrong
+/// message.
 const FIRST_SUCCESSOR_NUMBER: u64 = 1 << 62;
 
-/// How the intake ended.
+/// Result of the intake.
 pub(crate) enum IntakeEnd {
-    /// The active process's lock is this process's now; these events wait for the dispatcher, in order.
+    /// This process holds the lock of the active process. The events are for the dispatcher, in order.
     BecameActive(DeferredEvents),
-    /// Told to stop before that: what was accepted waits in the successor's spool for the next active process.
+    /// The process was stopped before that. Accepted messages stay in the successor's spool for the next active
+    /// process.
     Stopped,
 }
 
-/// What the intake shares with others.
+/// Configuration and shared handles of the intake.
 pub(crate) struct IntakeOptions<'a> {
-    /// The successor's spool.
+    /// Spool of the successor.
     pub(crate) spool: Spool,
-    /// The active process's lock, to be taken once it is free.
+    /// Lock file of the active process, whose lock is acquired once it is free.
     pub(crate) active_lock: &'a File,
-    /// The names of the message classes, ...
+    /// Names of the message classes.
     pub(crate) classes: &'a [String],
-    /// ... and which of them keep their messages in order.
+    /// Whether each message class, by the same index, keeps its messages in order.
     pub(crate) ordered_classes: Vec<bool>,
     pub(crate) maintenance: Rc<RefCell<MaintenanceState>>,
     pub(crate) files: &'a StateFiles,
-    /// The time line of all that is stored.
+    /// Time line of stored times.
     pub(crate) stored_time: StoredTime,
-    /// Closed when client connections are to go.
+    /// Channel that is closed when the relay stops accepting and starts to close client connections.
     pub(crate) clients_stopping: Sender<()>,
-    /// Closed shortly before the end: clients hear the answers they are owed, nothing more is read.
+    /// Channel that is closed shortly before the process exits: pending replies are sent, further requests are
+    /// rejected.
     pub(crate) clients_ending: Sender<()>,
-    /// Client connections open now.
+    /// Number of open client connections.
     pub(crate) client_connections: Rc<Cell<usize>>,
 }
 
-/// Accepts messages beside the active process.
+/// Accepts messages while another process is active.
 pub(crate) struct SuccessorIntake<'a> {
     options: IntakeOptions<'a>,
     numbers_by_id: BTreeMap<Vec<u8>, u64>,
-    /// The clients of the messages, by the numbers that their connections know.
+    /// Clients of the messages, by the message numbers used by their connections.
     acceptances: Acceptances,
     /// Events that only a dispatcher can handle.
     deferred_events: DeferredEvents,
     stopping_since: Option<Instant>,
-    /// The active process that has said that it hands over.
+    /// Name of the active process, once it has marked its handover.
     previous_process: Option<String>,
-    /// The spool could not be written at the last try, and the log says so.
-    failure_logged: bool,
+    /// Whether the last commit of the spool failed, which is then logged already.
+    is_failure_logged: bool,
 }
 
 impl<'a> SuccessorIntake<'a> {
@@ -82,11 +85,11 @@
             deferred_events: DeferredEvents::default(),
             stopping_since: None,
             previous_process: None,
-            failure_logged: false,
+            is_failure_logged: false,
         }
     }
 
-    /// Runs until the active process's lock is free, or until told to stop.
+    /// Runs until the lock of the active process is acquired, or until the process is stopped.
     pub(crate) async fn run(&mut self, events: &Receiver<Event>) -> IntakeEnd {
         loop {
             for event in next_events(events).await {
@@ -95,24 +98,24 @@
             self.commit();
             self.record_handover();
             if self.stopping_since.is_some() {
-                if self.may_stop() {
+                if self.can_stop() {
                     self.finish(events).await;
                     return IntakeEnd::Stopped;
                 }
             } else if self.options.active_lock.try_lock().is_ok() {
                 let stored = self.options.spool.messages().len();
-                info!("owns the state folder now, with {stored} messages accepted beside the active process");
+                info!("owns the state folder now, with {stored} messages accepted as successor");
                 return IntakeEnd::BecameActive(std::mem::take(&mut self.deferred_events));
             }
         }
     }
 
-    /// What the intake leaves to the active process that this one is now.
+    /// Returns the successor's spool and the name of the process that handed over.
     pub(crate) fn into_parts(self) -> (Spool, Option<String>) {
         (self.options.spool, self.previous_process)
     }
 
-    /// Whose snapshot counts: that of the process that has handed over.
+    /// Records the name of the process that hands over; only its snapshot is valid.
     fn record_handover(&mut self) {
         if self.previous_process.is_none() {
             self.previous_process = self.options.files.handing_over_process();
@@ -142,7 +145,10 @@
             }
         };
         let Some(number) = self.options.spool.accept(accepted) else {
-            warn!("successor's spool: full with {} messages", self.options.spool.messages().len());
+            warn!(
+                "successor's spool: full with {} messages; message rejected",
+                self.options.spool.messages().len()
+            );
             let _ = reply_to.try_send(SubmissionReply::Rejected { retry_after_ms: 0 });
             return;
         };
@@ -150,7 +156,7 @@
         self.acceptances.add(successor_message(number), reply_to);
     }
 
-    /// A message of an id that is held. The id alone does not make it the one that is.
+    /// Handles a submission whose id is held. It is the same message only if its content is the same too.
     fn on_message_received_again(
         &mut self,
         number: u64,
@@ -161,12 +167,14 @@
         if held.is_some_and(|stored| message.is_same_as(&stored.accepted)) {
             self.acceptances.add_repeat(successor_message(number), reply_to);
         } else {
-            info!("successor's message {number} is held, another one came under its id: rejected");
+            info!(
+                "submission rejected: the id of the successor's message {number} is used by a different message"
+            );
             let _ = reply_to.try_send(SubmissionReply::Rejected { retry_after_ms: 0 });
         }
     }
 
-    /// What goes into the spool, or the answer if nothing does.
+    /// Returns the message to store in the spool, or the reply if it is not accepted.
     fn check(&self, message: &ClientSubmission) -> Result<AcceptedMessage, SubmissionReply> {
         if !self.options.classes.contains(&message.metadata.class) {
             return Err(SubmissionReply::Failed(SubmissionError::UnknownClass));
@@ -175,7 +183,7 @@
         let class = self.options.classes.iter().position(|class| *class == message.metadata.class);
         let is_in_order = class.is_some_and(|class| self.options.ordered_classes[class]) && message.key != 0;
         let active = ActiveProcessState {
-            // Asked each time: what the active process says ends with it.
+            // Read each time, because the marker of the active process is valid only until that process exits.
             is_handing_over: is_in_order && self.options.files.handing_over_process().is_some(),
             has_shared_clock: self.options.stored_time.is_shared(),
         };
@@ -193,8 +201,8 @@
         })
     }
 
-    /// The client did not hear that its message was accepted, and submits it again: unless another one has handed it in too,
-    /// this one is nobody's.
+    /// Removes the message of a client that could not be sent the "accepted" reply and will submit it again, unless
+    /// another client has submitted it too.
     fn on_client_unreachable(&mut self, message: MessageId) {
         if self.acceptances.release_client(message) {
             self.remove(message);
@@ -231,15 +239,15 @@
         self.deferred_events.push(Event::EndpointList(Ok(list)));
     }
 
-    /// Commits what was accepted, and answers: only what is committed may be called accepted.
+    /// Commits the accepted messages and sends the replies. Only a committed message may be reported as accepted.
     fn commit(&mut self) {
         let committed = self.options.spool.commit();
         match &committed {
-            // Logged once, or a full disk would fill the log.
-            Err(e) if !self.failure_logged => error!("successor's spool: {e}"),
+            // Logged once per series of failures, to bound the log while the disk is full.
+            Err(e) if !self.is_failure_logged => error!("successor's spool: commit failed: {e}"),
             _ => {}
         }
-        self.failure_logged = committed.is_err();
+        self.is_failure_logged = committed.is_err();
         if committed.is_ok() {
             self.acceptances.reply_accepted();
             return;
@@ -249,13 +257,14 @@
         }
     }
 
-    /// True once a process that is told to stop can end, or has to. It does not become active any more.
-    fn may_stop(&self) -> bool {
+    /// Returns whether a stopping process can exit: no client is connected, or the exit timeout has passed. A stopping
+    /// process no longer becomes active.
+    fn can_stop(&self) -> bool {
         let is_late = self.stopping_since.is_some_and(|since| since.elapsed() >= RESTART.exit_timeout);
         is_late || self.options.client_connections.get() == 0
     }
 
-    /// The end of a process that was not active: clients hear what became of the requests that were read.
+    /// Ends a process that has not become active: sends the pending replies.
     async fn finish(&mut self, events: &Receiver<Event>) {
         self.options.clients_ending.close();
         let mut rounds = ShutdownRounds::start();
@@ -276,21 +285,21 @@
     }
 }
 
-/// A message of a successor, as its clients' connections know it.
+/// Returns the id by which client connections refer to a message of a successor.
 fn successor_message(number: u64) -> MessageId {
     MessageId(FIRST_SUCCESSOR_NUMBER + number)
 }
 
-/// Waits for an event, or until it is time to look at the lock again; all events that are there come together.
+/// Waits for an event or for the next poll of the lock; returns all available events.
 async fn next_events(events: &Receiver<Event>) -> Vec<Event> {
-    let look_at_lock = async {
+    let lock_poll = async {
         Timer::after(LOCK_POLL_INTERVAL).await;
         None
     };
-    let first = async { events.recv().await.ok() }.or(look_at_lock).await;
-    let mut came = Vec::from_iter(first);
+    let first = async { events.recv().await.ok() }.or(lock_poll).await;
+    let mut received = Vec::from_iter(first);
     while let Ok(event) = events.try_recv() {
-        came.push(event);
+        received.push(event);
     }
-    came
+    received
 }
--- a/crates/relay/src/transient.rs
+++ b/crates/relay/src/transient.rs
@@ -1,4 +1,4 @@
-//! Errors of sockets that pass: the connection is as it was, and the same call works a moment later.
+//! Transient socket errors: they leave the connection intact, and the same call can succeed shortly after.
 
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWrite, AsyncWriteExt};
@@ -7,29 +7,29 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Before a call that failed for a shortage is made again.
+/// Pause before a failed call is repeated.
 const PAUSE: Duration = Duration::from_millis(5);
 
-/// True for an error that says nothing of the connection: the call was interrupted, or the system is short of memory for
-/// it at this moment.
+/// Returns whether the error does not concern the connection itself: the call was interrupted, or the system is
+/// temporarily out of memory.
 pub(crate) fn is_transient(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::INTR | Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Waits until a call that failed by a transient error may work.
+/// Waits until a call that failed with a transient error may succeed.
 pub(crate) async fn pause() {
     Timer::after(PAUSE).await;
 }
 
-/// Waits until there may be something to read, or for a moment where the system can't wait for the socket (`epoll_ctl`
-/// fails): the read that follows tells what is true.
+/// Waits until the socket may be readable, or for a short pause if the system can't wait for it (`epoll_ctl` fails).
+/// The read that follows determines the state of the socket.
 pub(crate) async fn readable(stream: &Async<TcpStream>) {
     if stream.readable().await.is_err() {
         pause().await;
     }
 }
 
-/// Writes all bytes, again after transient errors; `unwritten` holds at any time what is left.
+/// Writes all bytes, with retries after transient errors. `unwritten` always holds the remaining bytes.
 pub(crate) async fn write_all<W: AsyncWrite + Unpin>(
     writer: &mut W,
     unwritten: &mut &[u8],
--- a/crates/relay/src/transitions.rs
+++ b/crates/relay/src/transitions.rs
@@ -1,18 +1,18 @@
-//! Log lines of state transitions: of messages, calls and connections, all with the same fields in the same order, so
-//! that the way of one message can be followed through a log. One for each message, so at level debug.
+//! Log lines of state transitions of messages, calls and connections. All have the same fields in the same order, so
+//! that a message can be traced through a log. Logged at level debug, because every message has some.
 
 use std::fmt;
 
-/// A state transition, as its log line tells it; fields that do not apply are dashes.
+/// A state transition. Displayed as its log line, with a dash for each field that does not apply.
 #[derive(Default)]
 pub(crate) struct Transition<'a> {
-    /// The client's id of the message.
+    /// Id of the message, as assigned by its client.
     pub(crate) message: Option<&'a [u8]>,
-    /// The number of the call.
+    /// Number of the call.
     pub(crate) call: Option<u64>,
-    /// The number of the client's connection.
+    /// Number of the client connection.
     pub(crate) connection: Option<u64>,
-    /// The endpoint's id as listed.
+    /// Id of the endpoint, as listed.
     pub(crate) endpoint: Option<&'a str>,
     pub(crate) from: &'a str,
     pub(crate) to: &'a str,
--- a/crates/relay/src/violations.rs
+++ b/crates/relay/src/violations.rs
@@ -1,22 +1,22 @@
-//! Counts what must never happen. The decisions keep the rules; the guards at each verb (send, repeat, close, answer)
-//! check again what is known at that moment. A guard that finds a rule about to be broken stops it, counts it and logs
-//! one line. The process goes on.
+//! Violations of invariants. The policy follows the rules; guards check them again, with the state at that time,
+//! immediately before each send, repeat, close and answer. A guard that detects a violation prevents it if possible,
+//! counts it and logs one line. The process continues.
 
 use log::error;
 use std::cell::Cell;
 use std::fmt;
 
-/// What must never happen.
+/// Kind of a violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub(crate) enum ViolationKind {
-    /// A message that must not run twice was about to be sent again though an attempt may have run.
+    /// A message that must not run twice was about to be sent again although an earlier attempt may have run.
     UnsafeRepeat,
     /// A message got a second final answer.
     SecondFinalAnswer,
-    /// A client connection was closed by the relay while a request that it had read had no answer.
+    /// The relay closed a client connection before it had answered every request that it read.
     ClosedOwingAnswer,
-    /// A message was about to be sent before its turn among those of its key.
+    /// A message was about to be sent before an earlier message of its ordering key.
     OutOfTurn,
 }
 
@@ -29,7 +29,7 @@
         ViolationKind::OutOfTurn,
     ];
 
-    /// Its name in metrics and log lines.
+    /// Returns the name in metrics and log lines.
     pub(crate) fn name(self) -> &'static str {
         match self {
             ViolationKind::UnsafeRepeat => "unsafe_repeat",
@@ -46,20 +46,20 @@
     }
 }
 
-/// Where a violation was found, and what was expected there.
+/// Context of a violation, and the expected state.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Evidence<'a> {
-    /// The client's id of the message.
+    /// Id of the message, as assigned by its client.
     pub(crate) message: Option<&'a [u8]>,
-    /// The number of the client's connection.
+    /// Number of the client connection.
     pub(crate) connection: Option<u64>,
-    /// The number of the call.
+    /// Number of the call.
     pub(crate) call: Option<u64>,
-    /// The state that was expected.
+    /// Expected state.
     pub(crate) expected: &'a str,
 }
 
-/// The violations of this process so far.
+/// Violations of this process so far.
 #[derive(Debug, Default)]
 pub(crate) struct Violations {
     counts: [Cell<u64>; ViolationKind::ALL.len()],
@@ -79,12 +79,12 @@
         );
     }
 
-    /// How many of a kind there were.
+    /// Returns the number of violations of a kind.
     pub(crate) fn count(&self, kind: ViolationKind) -> u64 {
         self.counts[kind as usize].get()
     }
 
-    /// How many there were.
+    /// Returns the number of all violations.
     pub(crate) fn total(&self) -> u64 {
         self.counts.iter().map(Cell::get).sum()
     }
