--- a/crates/relay/src/dispatch/calls.rs
+++ b/crates/relay/src/dispatch/calls.rs
@@ -210,9 +210,9 @@
     /// Replies to waiting clients that their messages are accepted, but only if these are committed; else rejects them.
     fn answer_clients(&mut self, is_committed: bool) {
         if is_committed {
-            return self.acceptances.tell_accepted();
+            return self.acceptances.reply_accepted();
         }
-        for message in self.acceptances.tell_rejected() {
+        for message in self.acceptances.reply_rejected() {
             // Otherwise the next commit would store the rejected message.
             self.remove_message(message);
             let _ = self.events.try_send(Event::ClientUnreachable(message));
--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -41,7 +41,7 @@
     /// Closes a message whose client did not get the reply that it was accepted: the client will submit it again. Keeps
     /// the message if another client has submitted it too.
     fn on_client_unreachable(&mut self, message: MessageId, inputs: &mut Vec<Input>) {
-        if !self.acceptances.was_last_client(message) {
+        if !self.acceptances.release_client(message) {
             return;
         }
         let may_have_run = self
@@ -98,7 +98,7 @@
             self.spool.borrow().get(message.0).is_some_and(|stored| received.is_same_as(&stored.accepted));
         if is_same {
             info!("message {} was submitted again while it is held; treated as the same message", message.0);
-            self.acceptances.add_further(message, reply_to);
+            self.acceptances.add_repeat(message, reply_to);
             return;
         }
         info!("submission rejected: message {} is held under the same id with other content", message.0);
@@ -117,7 +117,7 @@
         let Some(submission) = self.submission(&received.metadata, received.key, deadline, call_bytes) else {
             return Err(SubmissionReply::Failed(SubmissionError::UnknownClass));
         };
-        let holds_earlier = self.successor_spool.may_hold_earlier();
+        let holds_earlier = self.successor_spool.may_hold_earlier_messages();
         let is_in_order = self.is_in_order(&submission);
         if !mountshift_handover::active_accepts(is_in_order, self.is_handing_over, holds_earlier) {
             debug!(
@@ -269,7 +269,7 @@
         // A successor takes over the held messages: this process makes no further attempts.
         if plan.is_handover {
             self.is_handing_over = true;
-            self.files.raise_handover_marker();
+            self.files.write_handover_marker();
             info!("relay hands over to the process beside it, and makes no further attempts");
             inputs.push(Input::HandoverStarted);
         }
--- a/crates/relay/src/dispatch/state.rs
+++ b/crates/relay/src/dispatch/state.rs
@@ -205,7 +205,7 @@
             FinalOutcome::Failed => "failed",
             FinalOutcome::Rejected(_) => "rejected",
         });
-        if self.acceptances.tell_end(message, answer) {
+        if self.acceptances.reply_final(message, answer) {
             self.remove_message(message);
             return true;
         }
@@ -291,7 +291,7 @@
             let id = &stored.accepted.id;
             debug!("{}", Transition { message: Some(id), from: "held", to: "gone", ..Transition::default() });
             self.messages_by_id.remove(id);
-            self.acceptances.forget(message);
+            self.acceptances.remove(message);
             spool.remove(message.0);
         }
     }
@@ -304,7 +304,7 @@
         let mut spool = self.spool.borrow_mut();
         let Some(stored) = spool.get(message.0) else { return };
         self.messages_by_id.remove(&stored.accepted.id);
-        self.acceptances.forget(message);
+        self.acceptances.remove(message);
         // A later process that finds the outcome notifies the platform once more, which is harmless, and makes no
         // attempt of the message.
         if stored.pending_outcome.is_none() {
