--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -1,4 +1,4 @@
-//! The control file, mapped into the process.
+//! Access to the control file, which is mapped into the process.
 
 use mountshift_faults::{
     CONTROL_BYTES, CONTROL_VARIABLE, ControlWord, FULL_RATE, SystemCall, SystemCallWord, system_call_word,
@@ -7,28 +7,29 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What a call has to do.
+/// The fault to inject into a system call, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// As without the shim.
+pub(crate) enum InjectedFault {
+    /// Call the original function.
     Pass,
     /// Fail with this error number.
     Fail(i32),
-    /// Do half of the write.
-    Short,
-    /// Do half of the write, then end the process as SIGKILL does.
-    ShortAndKill,
+    /// Write only half of the bytes.
+    PartialWrite,
+    /// Write only half of the bytes, then end the process as SIGKILL does.
+    PartialWriteAndKill,
 }
 
-/// The words of the control file; none without one.
+/// Words of the control file; `None` if the process has no control file.
 static WORDS: OnceLock<Option<&'static [AtomicU64]>> = OnceLock::new();
-/// The state of the pseudo-random numbers: which calls fail needs no more than to be spread.
+/// State of the pseudo-random numbers. A fixed seed is enough: failures only have to be spread over the calls.
 static RANDOM: AtomicU64 = AtomicU64::new(0x9E37_79B9_7F4A_7C15);
 
-/// Maps the file that the environment names, by raw system calls: the functions are replaced by this library's own.
+/// Maps the file that the environment variable names. Uses raw system calls, because this library replaces the
+/// functions of the C library.
 fn map() -> Option<&'static [AtomicU64]> {
     let path = CString::new(std::env::var(CONTROL_VARIABLE).ok()?).ok()?;
-    // SAFETY: plain system calls; the mapping is never removed, has the length asked for, and holds only integers that
+    // SAFETY: plain system calls; the mapping is never removed, has the requested length, and holds only integers that
     // are read and written atomically.
     unsafe {
         let descriptor = libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_RDWR);
@@ -56,31 +57,31 @@
     words.map_or(0, |words| words[index].load(Ordering::Relaxed))
 }
 
-/// Nanoseconds by which the wall clock is ahead.
+/// Returns the nanoseconds by which the wall clock is ahead.
 pub(crate) fn wall_clock_offset() -> i64 {
     word(ControlWord::WallClockOffset as usize) as i64
 }
 
-/// Milliseconds for which this write to a socket is held up.
-pub(crate) fn hold_milliseconds() -> u64 {
-    if draws(word(ControlWord::SocketWriteDelayRate as usize)) {
+/// Returns the milliseconds by which to delay this write to a socket.
+pub(crate) fn socket_write_delay_ms() -> u64 {
+    if should_inject(word(ControlWord::SocketWriteDelayRate as usize)) {
         word(ControlWord::SocketWriteDelayMs as usize)
     } else {
         0
     }
 }
 
-/// Milliseconds for which the process is held up behind this read of a clock.
-pub(crate) fn clock_hold_milliseconds() -> u64 {
-    if draws(word(ControlWord::ClockReadDelayRate as usize)) {
+/// Returns the milliseconds by which to delay the calling thread after this read of a clock.
+pub(crate) fn clock_read_delay_ms() -> u64 {
+    if should_inject(word(ControlWord::ClockReadDelayRate as usize)) {
         word(ControlWord::ClockReadDelayMs as usize)
     } else {
         0
     }
 }
 
-/// Milliseconds for which this write to a file is held up; counted.
-pub(crate) fn file_hold_milliseconds() -> u64 {
+/// Returns the milliseconds by which to delay this write to a file, and counts the write if it is delayed.
+pub(crate) fn file_write_delay_ms() -> u64 {
     let milliseconds = word(ControlWord::FileWriteDelayMs as usize);
     if milliseconds > 0
         && let Some(words) = WORDS.get_or_init(map)
@@ -90,32 +91,32 @@
     milliseconds
 }
 
-/// What this call has to do.
-pub(crate) fn verdict(call: SystemCall) -> Verdict {
+/// Chooses the fault to inject into this call, and counts it.
+pub(crate) fn choose_fault(call: SystemCall) -> InjectedFault {
     let read = |part: SystemCallWord| word(system_call_word(call, part));
-    let verdict = if draws(read(SystemCallWord::PartialWriteKillRate)) {
-        Verdict::ShortAndKill
-    } else if draws(read(SystemCallWord::PartialWriteRate)) {
-        Verdict::Short
-    } else if draws(read(SystemCallWord::FailRate)) {
-        Verdict::Fail(read(SystemCallWord::Errno) as i32)
+    let fault = if should_inject(read(SystemCallWord::PartialWriteKillRate)) {
+        InjectedFault::PartialWriteAndKill
+    } else if should_inject(read(SystemCallWord::PartialWriteRate)) {
+        InjectedFault::PartialWrite
+    } else if should_inject(read(SystemCallWord::FailRate)) {
+        InjectedFault::Fail(read(SystemCallWord::Errno) as i32)
     } else {
-        Verdict::Pass
+        InjectedFault::Pass
     };
-    if verdict != Verdict::Pass
+    if fault != InjectedFault::Pass
         && let Some(words) = WORDS.get_or_init(map)
     {
         words[system_call_word(call, SystemCallWord::Injected)].fetch_add(1, Ordering::Relaxed);
     }
-    verdict
+    fault
 }
 
-/// True in so many of 1,000 cases.
-fn draws(rate: u64) -> bool {
+/// Returns true for `rate` of 1,000 calls, chosen at random.
+fn should_inject(rate: u64) -> bool {
     rate > 0 && (rate >= FULL_RATE || next_random() % FULL_RATE < rate)
 }
 
-/// Xorshift64.
+/// Returns the next number of an xorshift64 generator.
 fn next_random() -> u64 {
     let mut value = RANDOM.load(Ordering::Relaxed);
     value ^= value << 13;
--- a/crates/faults/src/control.rs
+++ b/crates/faults/src/control.rs
@@ -1,4 +1,4 @@
-//! Writes the control file.
+//! Access to the control file.
 
 use crate::{
     CONTROL_BYTES, ControlWord, FULL_RATE, SystemCall, SystemCallWord, WORD_BYTES, system_call_word,
@@ -9,27 +9,27 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How a system call fails. Rates are parts of 1,000 calls.
+/// Faults of a system call. Rates are numbers of affected calls per 1,000.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SystemCallFault {
-    /// The error number of a call that fails.
+    /// Error number of a failed call.
     pub errno: i32,
-    /// Calls that fail.
+    /// Rate of calls that fail.
     pub fail_rate: u64,
-    /// Writes that are done by half.
+    /// Rate of writes that write only half of the bytes.
     pub partial_write_rate: u64,
-    /// Writes that are done by half before the process is killed.
+    /// Rate of writes that write only half of the bytes and then kill the process.
     pub partial_write_kill_rate: u64,
 }
 
 impl SystemCallFault {
-    /// Every call fails with this error number.
+    /// Returns a fault that makes every call fail with this error number.
     pub fn always(errno: i32) -> SystemCallFault {
         SystemCallFault { errno, fail_rate: FULL_RATE, ..SystemCallFault::default() }
     }
 }
 
-/// The control file of one process, or of several that fail alike.
+/// Control file of one process, or of several processes with the same faults.
 #[derive(Debug)]
 pub struct FaultControl {
     path: PathBuf,
@@ -37,7 +37,7 @@
 }
 
 impl FaultControl {
-    /// Makes a control file in which nothing fails.
+    /// Creates a control file without faults.
     ///
     /// # Errors
     /// If the file can't be written.
@@ -47,12 +47,12 @@
         Ok(FaultControl { path: path.to_path_buf(), file })
     }
 
-    /// Where the file is: the value of [`crate::CONTROL_VARIABLE`].
+    /// Returns the path of the file, the value for [`crate::CONTROL_VARIABLE`].
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Steps the wall clock: from now on it is so many milliseconds ahead of the machine's; behind, if negative.
+    /// Sets the number of milliseconds by which the wall clock is ahead of the machine's, or behind it if negative.
     ///
     /// # Errors
     /// If the file can't be written.
@@ -60,33 +60,33 @@
         self.set(ControlWord::WallClockOffset as usize, (milliseconds * 1_000_000) as u64)
     }
 
-    /// Holds so many of 1,000 writes to sockets up for a span.
+    /// Delays `rate` of 1,000 writes to sockets.
     ///
     /// # Errors
     /// If the file can't be written.
-    pub fn set_socket_write_delay(&self, hold: Duration, rate: u64) -> io::Result<()> {
-        self.set(ControlWord::SocketWriteDelayMs as usize, hold.as_millis() as u64)?;
+    pub fn set_socket_write_delay(&self, delay: Duration, rate: u64) -> io::Result<()> {
+        self.set(ControlWord::SocketWriteDelayMs as usize, delay.as_millis() as u64)?;
         self.set(ControlWord::SocketWriteDelayRate as usize, rate)
     }
 
-    /// Holds the process up for a span behind so many of 1,000 reads of a clock.
+    /// Delays the reading thread after `rate` of 1,000 reads of a clock.
     ///
     /// # Errors
     /// If the file can't be written.
-    pub fn set_clock_read_delay(&self, hold: Duration, rate: u64) -> io::Result<()> {
-        self.set(ControlWord::ClockReadDelayMs as usize, hold.as_millis() as u64)?;
+    pub fn set_clock_read_delay(&self, delay: Duration, rate: u64) -> io::Result<()> {
+        self.set(ControlWord::ClockReadDelayMs as usize, delay.as_millis() as u64)?;
         self.set(ControlWord::ClockReadDelayRate as usize, rate)
     }
 
-    /// Holds each write to a file up for a span.
+    /// Delays each write to a file.
     ///
     /// # Errors
     /// If the file can't be written.
-    pub fn set_file_write_delay(&self, hold: Duration) -> io::Result<()> {
-        self.set(ControlWord::FileWriteDelayMs as usize, hold.as_millis() as u64)
+    pub fn set_file_write_delay(&self, delay: Duration) -> io::Result<()> {
+        self.set(ControlWord::FileWriteDelayMs as usize, delay.as_millis() as u64)
     }
 
-    /// Writes to files that have been held up so far, the one that is held up now included.
+    /// Returns the number of writes to files delayed so far, including a write that is being delayed.
     ///
     /// # Errors
     /// If the file can't be read.
@@ -94,7 +94,7 @@
         self.get(ControlWord::DelayedFileWrites as usize)
     }
 
-    /// From now on the system call fails like this; as it should by itself, with the default.
+    /// Sets the faults of a system call. The default value injects none.
     ///
     /// # Errors
     /// If the file can't be written.
@@ -105,7 +105,7 @@
         self.set(system_call_word(call, SystemCallWord::PartialWriteKillRate), fault.partial_write_kill_rate)
     }
 
-    /// Faults injected into a system call so far.
+    /// Returns the number of faults injected into a system call so far.
     ///
     /// # Errors
     /// If the file can't be read.
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,8 +1,8 @@
-//! The control file of the fault injection: which system calls of a process fail, how often, and how far its wall
-//! clock is off. A test or the soak writes it with [`FaultControl`]; the library `mountshift-fault-shim`, preloaded
-//! into a relay, maps it and obeys it from the next call on.
+//! The control file of the fault injection. It selects which system calls of a process fail, how often, and the offset
+//! of the process's wall clock. A test or the soak writes it with [`FaultControl`]. The library
+//! `mountshift-fault-shim`, preloaded into a relay, maps the file and applies a change from the next call on.
 //!
-//! The file is a table of 64-bit words in the machine's byte order: the words of [`ControlWord`], then
+//! The file is a table of 64-bit words in native byte order: the words of [`ControlWord`], then
 //! [`WORDS_PER_SYSTEM_CALL`] words for each [`SystemCall`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -13,56 +13,56 @@
 pub use control::{FaultControl, SystemCallFault};
 pub use system_call::{ParseSystemCallError, SystemCall};
 
-/// The environment variable that names the control file to the shim.
+/// Environment variable with the path of the control file, read by the shim.
 pub const CONTROL_VARIABLE: &str = "MOUNTSHIFT_FAULTS";
-/// Bytes of the control file.
+/// Size of the control file in bytes.
 pub const CONTROL_BYTES: usize = 4096;
-/// Bytes of a word.
+/// Size of a word in bytes.
 pub const WORD_BYTES: usize = 8;
-/// Words for each system call, see [`SystemCallWord`].
+/// Number of words per system call, see [`SystemCallWord`].
 pub const WORDS_PER_SYSTEM_CALL: usize = 5;
-/// Where the words of the first system call begin.
+/// Index of the first word of the first system call.
 pub const FIRST_SYSTEM_CALL_WORD: usize = 8;
-/// Rates count in parts of this.
+/// Rate at which every call is affected; rates are calls per 1,000.
 pub const FULL_RATE: u64 = 1000;
 
-/// Words that belong to no system call, by index.
+/// Indexes of the words that are not specific to a system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum ControlWord {
-    /// Nanoseconds by which the wall clock is ahead, signed.
+    /// Signed number of nanoseconds by which the wall clock is ahead.
     WallClockOffset = 0,
-    /// Milliseconds for which a write to a socket is held up, ...
+    /// Delay of a write to a socket, in milliseconds.
     SocketWriteDelayMs = 1,
-    /// ... in so many of 1,000 writes.
+    /// Number of delayed writes to sockets per 1,000.
     SocketWriteDelayRate = 2,
-    /// Milliseconds for which each write to a file is held up.
+    /// Delay of each write to a file, in milliseconds.
     FileWriteDelayMs = 3,
-    /// Written by the shim: writes to files held up so far.
+    /// Number of writes to files delayed so far; written by the shim.
     DelayedFileWrites = 4,
-    /// Milliseconds for which the process is held up behind reading a clock, ...
+    /// Delay of the reading thread after a read of a clock, in milliseconds.
     ClockReadDelayMs = 5,
-    /// ... at so many of 1,000 reads.
+    /// Number of delayed reads of a clock per 1,000.
     ClockReadDelayRate = 6,
 }
 
-/// Words of a system call, by index.
+/// Indexes of the words of a system call, relative to its first word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum SystemCallWord {
-    /// The error number that the call fails with.
+    /// Error number of a failed call.
     Errno = 0,
-    /// So many of 1,000 calls fail.
+    /// Number of calls that fail, per 1,000.
     FailRate = 1,
-    /// So many of 1,000 writes are done by half, without an error.
+    /// Number of writes per 1,000 that write only half of the bytes, without an error.
     PartialWriteRate = 2,
-    /// So many of 1,000 writes are done by half, and the process kills itself.
+    /// Number of writes per 1,000 that write only half of the bytes and then kill the process.
     PartialWriteKillRate = 3,
-    /// Written by the shim: faults injected so far.
+    /// Number of faults injected so far; written by the shim.
     Injected = 4,
 }
 
-/// The index of a word of a system call.
+/// Returns the index of a word of a system call.
 pub fn system_call_word(call: SystemCall, word: SystemCallWord) -> usize {
     FIRST_SYSTEM_CALL_WORD + call as usize * WORDS_PER_SYSTEM_CALL + word as usize
 }
--- a/crates/faults/src/system_call.rs
+++ b/crates/faults/src/system_call.rs
@@ -1,9 +1,9 @@
-//! The system calls that can fail.
+//! System calls into which faults can be injected.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A system call, or a group of calls of one kind, that can fail.
+/// A system call, or a group of similar system calls, into which faults can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(usize)]
 pub enum SystemCall {
@@ -37,12 +37,12 @@
     Send,
     /// `epoll_wait`.
     Wait,
-    /// `epoll_ctl` that changes what a network socket is waited for.
+    /// `epoll_ctl` that changes the registration of a network socket.
     WaitControl,
 }
 
 impl SystemCall {
-    /// All of them, in the order of the control file.
+    /// All system calls, in the order of the control file.
     pub const ALL: [SystemCall; 16] = [
         SystemCall::FileWrite,
         SystemCall::FileSync,
@@ -62,7 +62,7 @@
         SystemCall::WaitControl,
     ];
 
-    /// Its name in schedules and on the command line.
+    /// Returns the name used in schedules and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             SystemCall::FileWrite => "file-write",
@@ -91,9 +91,9 @@
     }
 }
 
-/// A text that names no system call.
+/// The error for a name that is not the name of a system call.
 #[derive(Debug, thiserror::Error)]
-#[error("{0} is no system call that can fail")]
+#[error("{0} is not the name of a system call into which faults can be injected")]
 pub struct ParseSystemCallError(String);
 
 impl FromStr for SystemCall {
