--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,8 +1,9 @@
-//! The load tool: submits messages to a relay and measures how it answers.
+//! The load tool: submits messages to a relay and measures its answers.
 //!
-//! Messages are due by a [`Schedule`] that knows nothing of answers. Each goes out on the next free connection, and
-//! its latency runs from the moment it was due, so that waiting for a slow relay counts (no coordinated omission).
-//! The tool uses one thread and as many connections as the [`Plan`] says. It loads loopback addresses only.
+//! Messages are due according to a [`Schedule`] that does not depend on answers. Each message is sent on the next free
+//! connection. Its latency is measured from its due time, so that waiting for a slow relay counts (no coordinated
+//! omission). The tool uses one thread and the number of connections in the [`Plan`], and connects only to loopback
+//! addresses.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -21,101 +22,102 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// An answer longer than this is no line of the protocol; reading it further would fill memory.
+/// Maximum length of an answer. The protocol has no longer lines, and reading on would fill memory.
 const MAX_ANSWER_BYTES: usize = 4_096;
-/// How long a connection waits after a failed dial, so that a relay that is down isn't dialled in a busy loop.
+/// Pause after a failed connection attempt, so that the tool does not reconnect in a busy loop while a relay is down.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// Halvings of the range once a search found a rate that is too high: a few per cent of the rate remain.
+/// Number of bisection steps after a search has found a rate that is too high. They leave an uncertainty of a few per
+/// cent of the rate.
 const BISECTIONS: usize = 5;
-/// The factor from one rate of a search to the next, up to the first that is too high.
+/// Factor between successive rates of a search, up to the first that is too high.
 const RATE_STEP: f64 = 1.6;
-/// The longest latency that histograms tell apart, in microseconds: ten minutes.
+/// Highest latency that the histograms record, in microseconds: ten minutes.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant digits of the latencies in histograms.
+/// Number of significant digits of the latencies in the histograms.
 const LATENCY_DIGITS: u8 = 3;
 
-/// Why a plan can't be played.
+/// The reason why a plan can't be run.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LoadError {
-    /// The relay is on another machine.
-    #[error("{address} is no loopback address: this tool loads nothing else")]
+    /// The relay's address is not a loopback address.
+    #[error("{address} is not a loopback address; the load tool connects only to loopback addresses")]
     NotLoopback {
-        /// The address that the plan names.
+        /// Address in the plan.
         address: SocketAddr,
     },
-    /// A rate or the schedule's length is not above 0.
-    #[error("a rate above 0 and a span above 0 are needed")]
+    /// A rate or the length of the schedule is not above 0.
+    #[error("the rates and the length of the schedule must be above 0")]
     NoLoad,
-    /// There is no connection or no destination to use.
-    #[error("a connection and a destination are needed")]
+    /// The plan has no connection or no destination.
+    #[error("at least one connection and one destination are needed")]
     NoTarget,
 }
 
 impl From<LoadError> for String {
-    /// For callers that report one plain line.
+    /// Returns the message, for callers that report errors as text.
     fn from(error: LoadError) -> String {
         error.to_string()
     }
 }
 
-/// What is sent, and to whom.
+/// Messages to send, with their target and rate.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The relay's address.
+    /// Address of the relay.
     pub relay: SocketAddr,
-    /// When messages are due.
+    /// Due times of the messages.
     pub schedule: Schedule,
-    /// Connections in use.
+    /// Number of connections to use.
     pub connections: usize,
-    /// The message class's name.
+    /// Name of the message class.
     pub class: String,
-    /// Destinations, in turns.
+    /// Destinations, used in turn.
     pub destinations: Vec<u32>,
-    /// Keys in use; 0 for none.
+    /// Number of ordering keys to use; 0 for messages without a key.
     pub keys: u64,
-    /// The size of a message's body.
+    /// Size of a message's body in bytes.
     pub body_bytes: usize,
-    /// The deadline of each message, from its submission.
+    /// Deadline of each message, measured from its submission.
     pub deadline: Duration,
-    /// A connection without an answer for so long is given up.
+    /// Time without an answer after which a connection is closed.
     pub answer_timeout: Duration,
-    /// Tells the message ids of one run from those of another.
+    /// Part of the message ids, so that those of different runs differ.
     pub seed: u64,
 }
 
-/// What came of a plan. Latencies run from the moment a message was due to its answer.
+/// Results of a run. Latencies are measured from the due time of a message to its answer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// Messages that fell due.
+    /// Number of messages that became due.
     pub due: u64,
-    /// Messages that the relay accepted.
+    /// Number of messages that the relay accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Messages that the relay rejected with Retry-After.
+    /// Number of messages that the relay rejected with Retry-After.
     #[serde(rename = "pushed_back")]
     pub rejected: u64,
-    /// Messages that the relay answered with an error.
+    /// Number of messages that the relay answered with an error.
     pub failed: u64,
-    /// No answer in time, or the connection broke.
+    /// Number of messages without an answer: it came too late, or the connection failed.
     pub unanswered: u64,
-    /// Connections that could not be made.
+    /// Number of failed connection attempts.
     pub not_connected: u64,
-    /// How long the run took.
+    /// Duration of the run in seconds.
     pub seconds: f64,
-    /// Messages accepted a second.
+    /// Messages accepted per second.
     pub rate: f64,
-    /// The median latency.
+    /// Median latency.
     pub p50_ms: f64,
-    /// The latency that 90% of the answers keep.
+    /// 90th percentile of the latencies.
     pub p90_ms: f64,
-    /// The latency that 99% of the answers keep.
+    /// 99th percentile of the latencies.
     pub p99_ms: f64,
-    /// The latency that 99.9% of the answers keep.
+    /// 99.9th percentile of the latencies.
     pub p999_ms: f64,
-    /// The longest latency.
+    /// Maximum latency.
     #[serde(rename = "most_ms")]
     pub max_ms: f64,
-    /// How late the tool itself was to notice that a message was due, 99%.
+    /// 99th percentile of the tool's own delay in handling due messages.
     #[serde(rename = "own_p99_ms")]
     pub scheduling_delay_p99_ms: f64,
 }
@@ -124,9 +126,9 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
-            "due {}, taken {}, pushed back {}, failed {}, unanswered {}, not connected {}\n\
-             {:.1} s, {:.0} taken a second; ms from when due: 50% {:.2}, 90% {:.2}, 99% {:.2}, 99.9% {:.2}, most {:.2}\n\
-             the tool's own lateness, 99%: {:.2} ms",
+            "due {}, accepted {}, rejected {}, failed {}, unanswered {}, not connected {}\n\
+             {:.1} s, {:.0} accepted per second; ms from due time: 50% {:.2}, 90% {:.2}, 99% {:.2}, 99.9% {:.2}, max {:.2}\n\
+             scheduling delay of the load tool, 99%: {:.2} ms",
             self.due,
             self.accepted,
             self.rejected,
@@ -145,26 +147,26 @@
     }
 }
 
-/// A message that fell due.
+/// A message that is due.
 struct DueMessage {
     number: u64,
     due_at: Instant,
 }
 
-/// What the relay answered to a submission.
+/// Answer of the relay to a submission.
 enum Answer {
     Accepted,
     Rejected,
     Failed,
 }
 
-/// What is measured while a plan is played.
+/// Measurements during a run.
 struct Measurements {
-    /// Its counts; the other figures are filled in at the end.
+    /// The counts are kept up to date; the other fields are computed at the end.
     report: Report,
-    /// From due to answered. None only if a histogram of these bounds can't be made.
+    /// Time from due to answered. `None` only if a histogram with these bounds can't be created.
     latency: Option<Histogram<u64>>,
-    /// From due to noticed by the tool.
+    /// Time from due until the tool handles the message.
     scheduling_delay: Option<Histogram<u64>>,
 }
 
@@ -208,23 +210,23 @@
     histogram.as_ref().map_or(0.0, |histogram| histogram.value_at_quantile(quantile) as f64 / 1e3)
 }
 
-/// Plays a plan; it takes as long as its schedule and the last answers.
+/// Runs a plan until its schedule is over and the last message is answered.
 ///
 /// # Errors
-/// If the plan can't be played.
+/// If the plan can't be run.
 pub fn run(plan: &Plan) -> Result<Report, LoadError> {
-    check(plan)?;
+    validate(plan)?;
     let measurements = RefCell::new(Measurements::new());
     let start = Instant::now();
     {
         let executor = LocalExecutor::new();
-        async_io::block_on(executor.run(play(&executor, plan, start, &measurements)));
+        async_io::block_on(executor.run(run_plan(&executor, plan, start, &measurements)));
     }
     Ok(measurements.into_inner().into_report(start.elapsed().as_secs_f64()))
 }
 
 /// Runs the schedule and the connections until the last answer.
-async fn play<'a>(
+async fn run_plan<'a>(
     executor: &LocalExecutor<'a>,
     plan: &'a Plan,
     start: Instant,
@@ -241,8 +243,8 @@
     }
 }
 
-/// Refuses a plan that can't be played.
-fn check(plan: &Plan) -> Result<(), LoadError> {
+/// Checks that a plan can be run.
+fn validate(plan: &Plan) -> Result<(), LoadError> {
     if !plan.relay.ip().is_loopback() {
         return Err(LoadError::NotLoopback { address: plan.relay });
     }
@@ -256,7 +258,7 @@
     Ok(())
 }
 
-/// Hands out messages as they fall due, whatever became of the earlier ones.
+/// Passes messages to the connections at their due times, independently of the answers to earlier ones.
 async fn run_schedule(
     schedule: &Schedule,
     start: Instant,
@@ -276,7 +278,7 @@
     }
 }
 
-/// Sends what is due, one message after another, until nothing more is.
+/// Sends due messages one after another until the schedule is over.
 async fn run_connection(plan: &Plan, due: Receiver<DueMessage>, measurements: &RefCell<Measurements>) {
     let mut kept: Option<Async<TcpStream>> = None;
     while let Ok(DueMessage { number, due_at }) = due.recv().await {
@@ -292,7 +294,7 @@
         };
         let answer = async { exchange(&mut stream, &command(plan, number)).await.ok() }.or(timeout).await;
         let Some(answer) = answer else {
-            // A late answer must not be taken for that of the next message, so the connection is not kept.
+            // The connection is dropped, so that a late answer is not mistaken for the answer to the next message.
             measurements.borrow_mut().report.unanswered += 1;
             continue;
         };
@@ -301,18 +303,18 @@
     }
 }
 
-/// The connection that was kept, or a new one; none if it can't be made.
+/// Returns the kept connection or a new one, or `None` if connecting fails.
 async fn connect_if_needed(plan: &Plan, kept: Option<Async<TcpStream>>) -> Option<Async<TcpStream>> {
     if kept.is_some() {
         return kept;
     }
     let stream = Async::<TcpStream>::connect(plan.relay).await.ok()?;
-    // Without this option the latencies would hold the kernel's delay; a failure shows in them and in nothing else.
+    // Without this option the latencies would include the kernel's delay. A failure affects only the latencies.
     let _ = stream.get_ref().set_nodelay(true);
     Some(stream)
 }
 
-/// The submission of a message, as the relay's protocol has it (an array of RESP bulk strings).
+/// Returns the submission of a message in the relay's protocol (an array of RESP bulk strings).
 fn command(plan: &Plan, number: u64) -> Vec<u8> {
     let key = if plan.keys > 0 { number % plan.keys + 1 } else { 0 };
     let destination = plan.destinations[number as usize % plan.destinations.len()];
@@ -335,7 +337,7 @@
     stream.write_all(command).await?;
     let mut answer = Vec::new();
     let mut chunk = [0; 256];
-    // One command is in flight, so one line is the answer.
+    // Only one command is in flight, so the answer is one line.
     while !answer.ends_with(b"\n") {
         let length = stream.read(&mut chunk).await?;
         if length == 0 || answer.len() > MAX_ANSWER_BYTES {
@@ -350,20 +352,20 @@
     })
 }
 
-/// One rate of a search, and whether the relay sustained it.
+/// A rate of a search, and whether the relay sustained it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Trial {
-    /// Messages a second that were sent.
+    /// Messages due per second.
     #[serde(rename = "asked")]
     pub requested_rate: f64,
-    /// True where every message was accepted and 99% of the answers came in time.
+    /// Whether every message was accepted and 99% of the answers came in time.
     #[serde(rename = "borne")]
     pub sustained: bool,
-    /// What came of the run.
+    /// Results of the run.
     pub report: Report,
 }
 
-/// Runs a plan at one rate of a search; `number` tells its message ids from those of the other runs.
+/// Runs a plan at one rate of a search. `number` makes its message ids differ from those of the other runs.
 fn try_rate(plan: &Plan, rate: f64, number: u64, p99: Duration) -> Result<Trial, LoadError> {
     let schedule = Schedule::steady(rate, plan.schedule.length);
     let report = run(&Plan { schedule, seed: plan.seed + number, ..plan.clone() })?;
@@ -372,11 +374,12 @@
     Ok(Trial { requested_rate: rate, sustained, report })
 }
 
-/// Looks for the highest rate that keeps 99% of the answers within `p99` and loses none: from the plan's rate up in
-/// steps to the first that is too high, then by halving. `on_trial` hears of each run.
+/// Searches for the highest rate at which every message is accepted and 99% of the answers come within `p99`.
+/// Increases the plan's rate in steps up to the first that is too high, then bisects. Calls `on_trial` after each run.
+/// Returns `None` if the plan's rate is too high.
 ///
 /// # Errors
-/// As [`run`].
+/// Same as for [`run`].
 pub fn search(
     plan: &Plan,
     p99: Duration,
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -1,36 +1,36 @@
-//! When messages are due. A schedule never waits for answers, so a relay that stalls is not asked less.
+//! Due times of messages. They do not depend on answers, so that a stalled relay does not reduce the load.
 
 use std::time::Duration;
 
-/// A slope below this is none: the formula for ramps would divide by it.
+/// Slope below which a rate counts as constant, because the formula for ramps divides by the slope.
 const FLAT_SLOPE: f64 = 1e-9;
 
-/// From one rate to another over a span, evenly; messages a second.
+/// A message rate that changes linearly over a time span.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Schedule {
-    /// Messages a second at the beginning.
+    /// Messages per second at the beginning.
     pub from: f64,
-    /// Messages a second at the end.
+    /// Messages per second at the end.
     pub to: f64,
-    /// How long messages fall due.
+    /// Duration of the schedule.
     pub length: Duration,
 }
 
 impl Schedule {
-    /// The same rate all the time.
+    /// Returns a schedule with a constant rate.
     pub fn steady(rate: f64, length: Duration) -> Schedule {
         Schedule { from: rate, to: rate, length }
     }
 
-    /// Messages in all.
+    /// Returns the number of messages.
     pub fn count(&self) -> u64 {
         ((self.from + self.to) / 2.0 * self.length.as_secs_f64()) as u64
     }
 
-    /// When the message of this number, from 0, is due after the start.
+    /// Returns the due time of message `n`, counted from 0, relative to the start.
     pub fn due(&self, n: u64) -> Duration {
         let (n, length) = (n as f64, self.length.as_secs_f64());
-        // The number due by t is from * t + slope * t * t / 2; solved for t.
+        // from * t + slope * t * t / 2 messages are due by time t; this is solved for t.
         let slope = (self.to - self.from) / length;
         let at = if slope.abs() < FLAT_SLOPE {
             n / self.from
