--- a/crates/fault-shim/src/hooks.rs
+++ b/crates/fault-shim/src/hooks.rs
@@ -334,8 +334,8 @@
     original!(epoll_wait as Function, descriptor, events, max_events, timeout)
 }
 
-/// Replaces `epoll_ctl` of the C library. Only changes of a registration fail: if adding a socket failed, async-io would
-/// close the connection before the relay gets it.
+/// Replaces `epoll_ctl` of the C library. Only changes of a registration fail: if adding a socket failed, async-io
+/// would close the connection before the relay gets it.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn epoll_ctl(
     descriptor: c_int,
--- a/crates/soak/src/bad_clients.rs
+++ b/crates/soak/src/bad_clients.rs
@@ -1,6 +1,7 @@
-//! Clients that misbehave: end their sending, stop in the middle, send much at once and go, fill the relay's descriptors.
+//! Misbehaving clients: they shut their sending side, stop in the middle of a request, send many requests at once and
+//! leave, or exhaust the relay's descriptors.
 
-use crate::client::{Answer, Clients, PATIENCE, read_line, request};
+use crate::client::{ANSWER_TIMEOUT, Answer, Clients, read_line, request};
 use mountshift_invariants::Time;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,53 +14,53 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A client that stops in the middle of a request is ended within this time.
-const BAD_CLIENT_LIMIT: Duration = Duration::from_millis(3_000 + 500);
-/// Commands that a bad client sends at once.
-const BURST: usize = 60;
-/// Idle connections that a bad client opens.
+/// Time within which the relay must disconnect a client that stops in the middle of a request.
+const INCOMPLETE_REQUEST_LIMIT: Duration = Duration::from_millis(3_000 + 500);
+/// Number of commands that a bad client sends at once.
+const BURST_COMMANDS: usize = 60;
+/// Number of idle connections that a bad client opens.
 const IDLE_CONNECTIONS: usize = 40;
-/// Connections of a crowd: more than a relay has descriptors for.
-const CROWD: usize = 300;
-/// Between two looks of a crowd at those that were shut.
-const CROWD_PAUSE: Duration = Duration::from_millis(100);
-/// A crowd is felt for so long after its end, in microseconds: its connections are closed one by one.
-const CROWD_AFTERMATH: Time = 1_000_000;
+/// Number of connections that exhaust a relay's descriptors; more than a relay may have.
+const EXHAUSTING_CONNECTIONS: usize = 300;
+/// Interval at which connections closed by the relay are replaced while its descriptors are being exhausted.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
+/// Time, in microseconds, after which the descriptors are free again. The connections are closed one by one.
+const EXHAUSTION_AFTEREFFECT: Time = 1_000_000;
 
-/// Clients that misbehave at a relay, for a while.
+/// Runs misbehaving clients of a relay until `until`.
 pub(crate) async fn misbehave(clients: Arc<Clients>, relay: usize, until: Instant, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(900_000 + relay as u64);
     let idle = open_idle(&clients, relay).await;
     while Instant::now() < until {
-        end_sending(&clients, relay, &mut random).await;
-        burst(&clients, relay).await;
-        smol::spawn(stop_in_the_middle(clients.clone(), relay)).detach();
+        shut_sending_side(&clients, relay, &mut random).await;
+        send_burst(&clients, relay).await;
+        smol::spawn(stop_mid_request(clients.clone(), relay)).detach();
         Timer::after(Duration::from_millis(random.random_range(20..200))).await;
     }
     drop(idle);
 }
 
-/// Idle clients that fill the relay's descriptors for a while, and come again when they are shut.
-pub(crate) async fn crowd(clients: Arc<Clients>, relay: usize, until: Instant) {
-    clients.set_crowded_until(relay, Time::MAX);
+/// Exhausts the relay's descriptors by idle connections until `until`, and replaces those that the relay closes.
+pub(crate) async fn exhaust_descriptors(clients: Arc<Clients>, relay: usize, until: Instant) {
+    clients.set_descriptors_exhausted_until(relay, Time::MAX);
     let mut idle: Vec<TcpStream> = Vec::new();
     while Instant::now() < until {
-        idle.retain(|stream| !is_shut(stream));
-        while idle.len() < CROWD {
+        idle.retain(|stream| !is_closed(stream));
+        while idle.len() < EXHAUSTING_CONNECTIONS {
             match TcpStream::connect(clients.relays[relay].listen).await {
                 Ok(stream) => idle.push(stream),
                 Err(_) => break,
             }
         }
-        Timer::after(CROWD_PAUSE).await;
+        Timer::after(RECONNECT_INTERVAL).await;
     }
     drop(idle);
-    clients.set_crowded_until(relay, clients.recorder.now() + CROWD_AFTERMATH);
+    clients.set_descriptors_exhausted_until(relay, clients.recorder.now() + EXHAUSTION_AFTEREFFECT);
 }
 
-/// True if the relay has ended the connection.
-fn is_shut(stream: &TcpStream) -> bool {
+/// Returns whether the relay has closed the connection.
+fn is_closed(stream: &TcpStream) -> bool {
     let socket = socket2::SockRef::from(stream);
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match socket.peek(&mut byte) {
@@ -76,11 +77,11 @@
     idle
 }
 
-/// A client that ends its sending a moment behind its request gets its answer.
-async fn end_sending(clients: &Clients, relay: usize, random: &mut ChaCha8Rng) {
-    let submission = clients.submission(relay, 0, random);
+/// Submits a message and shuts the sending side shortly after it. The relay must still answer.
+async fn shut_sending_side(clients: &Clients, relay: usize, random: &mut ChaCha8Rng) {
+    let submission = clients.draw_submission(relay, 0, random);
     let Ok(mut stream) = TcpStream::connect(clients.relays[relay].listen).await else {
-        return clients.note_answer(submission.number, Answer::None);
+        return clients.record_answer(submission.number, Answer::Missing);
     };
     let written_at = clients.recorder.now();
     let pause = Duration::from_micros(random.random_range(0..8_000));
@@ -90,46 +91,48 @@
         stream.shutdown(Shutdown::Write).ok()?;
         read_line(&mut stream).await.ok()
     };
-    let late = async {
-        Timer::after(PATIENCE).await;
+    let timeout = async {
+        Timer::after(ANSWER_TIMEOUT).await;
         Some("late".to_string())
     };
-    let answer = match answer.or(late).await.as_deref() {
+    let answer = match answer.or(timeout).await.as_deref() {
         Some(line) if line.starts_with('+') => Answer::Accepted,
-        Some(line) if line.starts_with('-') => Answer::Refused,
-        Some("late") => Answer::Late,
-        _ => Answer::None,
+        Some(line) if line.starts_with('-') => Answer::NotAccepted,
+        Some("late") => Answer::TimedOut,
+        _ => Answer::Missing,
     };
-    if answer == Answer::None {
-        clients.note_unanswered(relay, submission.number, written_at);
+    if answer == Answer::Missing {
+        clients.record_unanswered(relay, submission.number, written_at);
     }
-    clients.note_answer(submission.number, answer);
+    clients.record_answer(submission.number, answer);
 }
 
-/// A client that sends much at once and goes.
-async fn burst(clients: &Clients, relay: usize) {
+/// Sends many commands at once and closes the connection without reading the answers.
+async fn send_burst(clients: &Clients, relay: usize) {
     if let Ok(mut stream) = TcpStream::connect(clients.relays[relay].listen).await {
-        let _ = stream.write_all(&request(&["PING"]).repeat(BURST)).await;
+        let _ = stream.write_all(&request(&["PING"]).repeat(BURST_COMMANDS)).await;
     }
 }
 
-/// A client that stops in the middle of a request and stays: it is ended in time.
-async fn stop_in_the_middle(clients: Arc<Clients>, relay: usize) {
+/// Stops in the middle of a request and keeps the connection open. The relay must close it in time.
+async fn stop_mid_request(clients: Arc<Clients>, relay: usize) {
     let Ok(mut stream) = TcpStream::connect(clients.relays[relay].listen).await else { return };
-    let begun_at = clients.recorder.now();
+    let started_at = clients.recorder.now();
     if stream.write_all(b"*5\r\n$7\r\nOUT.").await.is_err() {
         return;
     }
-    let ended = async {
+    let closed = async {
         let mut bytes = [0; 256];
         while matches!(stream.read(&mut bytes).await, Ok(read) if read > 0) {}
         true
     };
-    let late = async {
-        Timer::after(BAD_CLIENT_LIMIT).await;
+    let timeout = async {
+        Timer::after(INCOMPLETE_REQUEST_LIMIT).await;
         false
     };
-    if !ended.or(late).await && !clients.relays[relay].is_disturbed_since(begun_at) {
-        clients.relays[relay].note_process(format!("kept a client that stopped for {BAD_CLIENT_LIMIT:?}"));
+    if !closed.or(timeout).await && !clients.relays[relay].tolerates_missing_answer_since(started_at) {
+        clients.relays[relay].record_process_event(format!(
+            "did not disconnect a client within {INCOMPLETE_REQUEST_LIMIT:?} of an incomplete request"
+        ));
     }
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients that are well behaved: they submit messages one after another, those of a key each once the one before has its answer.
+//! Well-behaved clients. They submit messages one after another, and a message with a key only once the previous
+//! message of the key is answered.
 
 use crate::copies::send_copy;
 use crate::endpoint::Endpoints;
@@ -17,38 +18,40 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A client waits so long for its answer.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(400);
-/// Between two messages of a client, on average.
+/// Time for which a client waits for an answer.
+pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Mean pause between two messages of a client, in milliseconds.
 const MEAN_PAUSE_MS: u64 = 120;
-/// Clients of each relay without a key, and with a key of their own.
-const FREE_CLIENTS: usize = 2;
+/// Number of clients per relay that submit messages without a key.
+const UNKEYED_CLIENTS: usize = 2;
+/// Number of clients per relay that submit messages under a key of their own.
 const KEYED_CLIENTS: usize = 2;
-/// Connections of a client.
+/// Number of connections of a client.
 const CONNECTIONS: usize = 2;
-/// A message is handed in so often at most, ...
-const MAX_TRIES: usize = 4;
-/// ... and this share of those that were not accepted is given up at each try.
-const GIVES_UP: f64 = 0.4;
-/// How often a message is copied, where another client does that.
-const COPIED: f64 = 0.5;
-/// One request in so many comes in two pieces, ...
-const PIECES_IN: usize = 3;
-/// ... so far apart.
-const PIECE_PAUSE: Duration = Duration::from_millis(4);
+/// Maximum number of submissions of a message.
+const MAX_SUBMISSIONS: usize = 4;
+/// Probability that a client does not submit a message again after an unsuccessful submission.
+const GIVE_UP_PROBABILITY: f64 = 0.4;
+/// Probability that a message is copied while another client copies ids.
+const COPY_PROBABILITY: f64 = 0.5;
+/// Requests whose length is a multiple of this are sent in two pieces.
+const SPLIT_LENGTH_DIVISOR: usize = 3;
+/// Pause between the two pieces of a request.
+const SPLIT_PAUSE: Duration = Duration::from_millis(4);
 
-/// What all clients share.
+/// State shared by all clients.
 pub(crate) struct Clients {
     pub(crate) installation: Installation,
     pub(crate) endpoints: Arc<Endpoints>,
     pub(crate) recorder: Arc<Recorder>,
     pub(crate) relays: Vec<Arc<RelayProcess>>,
     pub(crate) is_over: AtomicBool,
-    counts: Vec<AtomicU64>,
-    /// Relays at which another client copies ids.
-    copied: Vec<AtomicBool>,
-    /// Until when a crowd may keep other clients out of a relay.
-    crowded_until: Vec<AtomicU64>,
+    /// Number of messages by relay.
+    message_counts: Vec<AtomicU64>,
+    /// By relay, whether another client copies message ids there.
+    ids_copied: Vec<AtomicBool>,
+    /// By relay, the time until which idle connections may exhaust its descriptors, so that others are closed.
+    descriptors_exhausted_until: Vec<AtomicU64>,
 }
 
 /// A message to submit.
@@ -61,32 +64,33 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Why a message is handed in again, under a new id.
+/// The reason why a message is submitted again, under a new id.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Again {
-    AfterRefusal,
-    AfterSilence,
+enum ResubmitReason {
+    NotAccepted,
+    NoAnswer,
 }
 
-impl Again {
-    /// What the request says of it.
-    fn mark(self) -> &'static str {
+impl ResubmitReason {
+    /// Returns the option of the request that states the reason.
+    fn option(self) -> &'static str {
         match self {
-            Again::AfterRefusal => ",r=1",
-            Again::AfterSilence => ",again=1",
+            ResubmitReason::NotAccepted => ",r=1",
+            ResubmitReason::NoAnswer => ",again=1",
         }
     }
 }
 
-/// What became of a submission.
+/// The answer to a submission.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Answer {
     Accepted,
-    Refused,
-    /// The connection ended with no answer.
-    None,
-    /// No answer within the client's patience.
-    Late,
+    /// A rejection or an error.
+    NotAccepted,
+    /// The connection could not be made or ended without an answer.
+    Missing,
+    /// No answer within the client's timeout.
+    TimedOut,
 }
 
 impl Clients {
@@ -102,54 +106,57 @@
             recorder: recorder.clone(),
             relays: relays.to_vec(),
             is_over: AtomicBool::new(false),
-            counts: relays.iter().map(|_| AtomicU64::new(0)).collect(),
-            copied: relays.iter().map(|_| AtomicBool::new(false)).collect(),
-            crowded_until: relays.iter().map(|_| AtomicU64::new(0)).collect(),
+            message_counts: relays.iter().map(|_| AtomicU64::new(0)).collect(),
+            ids_copied: relays.iter().map(|_| AtomicBool::new(false)).collect(),
+            descriptors_exhausted_until: relays.iter().map(|_| AtomicU64::new(0)).collect(),
         }
     }
 
-    /// Starts the clients of all relays; they go on until the run is over.
+    /// Starts the clients of all relays; they run until `is_over` is set.
     pub(crate) fn start(self: &Arc<Clients>, seed: u64) -> Vec<smol::Task<()>> {
         let mut tasks = Vec::new();
         for relay in 0..self.relays.len() {
-            for client in 0..FREE_CLIENTS + KEYED_CLIENTS {
+            for client in 0..UNKEYED_CLIENTS + KEYED_CLIENTS {
                 let mut random = ChaCha8Rng::seed_from_u64(seed);
                 random.set_stream(1_000 + (relay * 100 + client) as u64);
-                let key = if client < FREE_CLIENTS { 0 } else { (client + 1) as u64 };
-                tasks.push(smol::spawn(submit_all(self.clone(), relay, key, random)));
+                let key = if client < UNKEYED_CLIENTS { 0 } else { (client + 1) as u64 };
+                tasks.push(smol::spawn(run_client(self.clone(), relay, key, random)));
             }
         }
         tasks
     }
 
-    pub(crate) fn submission(&self, relay: usize, key: u64, random: &mut ChaCha8Rng) -> Submission {
+    /// Draws a message and records its submission.
+    pub(crate) fn draw_submission(&self, relay: usize, key: u64, random: &mut ChaCha8Rng) -> Submission {
         let classes = &self.installation.classes;
-        let fitting: Vec<usize> = (0..classes.len()).filter(|c| classes[*c].in_order == (key != 0)).collect();
-        let class = fitting[random.random_range(0..fitting.len())];
+        let eligible: Vec<usize> =
+            (0..classes.len()).filter(|c| classes[*c].in_order == (key != 0)).collect();
+        let class = eligible[random.random_range(0..eligible.len())];
         let destination = random.random_range(0..self.installation.destinations);
-        self.submission_to(relay, key, class, destination, "")
+        self.new_submission(relay, key, class, destination, "")
     }
 
-    /// The message of an earlier submission once more, as another message.
-    fn submission_again(&self, relay: usize, earlier: &Submission, why: Again) -> Submission {
-        self.submission_to(relay, earlier.key, earlier.class, earlier.destination, why.mark())
+    /// Returns a new message with the contents of an earlier one.
+    fn resubmission(&self, relay: usize, earlier: &Submission, reason: ResubmitReason) -> Submission {
+        self.new_submission(relay, earlier.key, earlier.class, earlier.destination, reason.option())
     }
 
-    fn submission_to(
+    fn new_submission(
         &self,
         relay: usize,
         key: u64,
         class: usize,
         destination: u32,
-        mark: &str,
+        extra_options: &str,
     ) -> Submission {
         let classes = &self.installation.classes;
-        let number = message_number(relay, self.counts[relay].fetch_add(1, Ordering::SeqCst));
+        let number = message_number(relay, self.message_counts[relay].fetch_add(1, Ordering::SeqCst));
         let id = message_id(number);
         let plan = &classes[class];
-        let metadata = format!("c={},d={},dest={destination},k={id}{mark}", plan.name, plan.deadline_ms);
-        self.endpoints.announce(number, class);
-        self.recorder.fact(Fact::Submitted {
+        let options =
+            format!("c={},d={},dest={destination},k={id}{extra_options}", plan.name, plan.deadline_ms);
+        self.endpoints.register_message(number, class);
+        self.recorder.record_fact(Fact::Submitted {
             message: number,
             request: number,
             relay: relay as u32,
@@ -158,42 +165,43 @@
             key,
             deadline: self.recorder.now() + plan.deadline_ms * 1_000,
         });
-        let bytes = request(&["OUT.ADD", &format!("{key:016x}"), &id, &metadata, "body"]);
+        let bytes = request(&["OUT.ADD", &format!("{key:016x}"), &id, &options, "body"]);
         Submission { number, id, key, class, destination, bytes }
     }
 
-    pub(crate) fn note_answer(&self, message: u64, answer: Answer) {
-        if answer == Answer::Refused {
-            self.recorder.note(Observation::Refused { message });
+    pub(crate) fn record_answer(&self, message: u64, answer: Answer) {
+        if answer == Answer::NotAccepted {
+            self.recorder.record(Observation::NotAccepted { message });
         }
-        self.recorder.fact(match answer {
+        self.recorder.record_fact(match answer {
             Answer::Accepted => Fact::Accepted { message },
-            Answer::Refused | Answer::None | Answer::Late => Fact::Withdrawn { message },
+            Answer::NotAccepted | Answer::Missing | Answer::TimedOut => Fact::Withdrawn { message },
         });
     }
 
-    /// From now on another client copies the ids of a relay's messages, or does no longer.
-    pub(crate) fn set_copied(&self, relay: usize, is_copied: bool) {
-        self.copied[relay].store(is_copied, Ordering::SeqCst);
+    /// Sets whether another client copies the ids of a relay's messages.
+    pub(crate) fn set_ids_copied(&self, relay: usize, is_copied: bool) {
+        self.ids_copied[relay].store(is_copied, Ordering::SeqCst);
     }
 
-    /// Until then a crowd may keep other clients out of a relay.
-    pub(crate) fn set_crowded_until(&self, relay: usize, until: Time) {
-        self.crowded_until[relay].store(until, Ordering::SeqCst);
+    /// Sets the time until which idle connections may exhaust a relay's descriptors.
+    pub(crate) fn set_descriptors_exhausted_until(&self, relay: usize, until: Time) {
+        self.descriptors_exhausted_until[relay].store(until, Ordering::SeqCst);
     }
 
-    pub(crate) fn note_unanswered(&self, relay: usize, message: u64, written_at: Time) {
-        // New connections may be shut unread where idle clients fill the descriptors.
-        if written_at <= self.crowded_until[relay].load(Ordering::SeqCst) {
+    /// Records a missing answer, unless a fault explains it.
+    pub(crate) fn record_unanswered(&self, relay: usize, message: u64, written_at: Time) {
+        // A relay without free descriptors may close new connections before it reads them.
+        if written_at <= self.descriptors_exhausted_until[relay].load(Ordering::SeqCst) {
             return;
         }
-        if !self.relays[relay].is_disturbed_since(written_at) {
-            self.recorder.note(Observation::Unanswered { relay, id: message_id(message) });
+        if !self.relays[relay].tolerates_missing_answer_since(written_at) {
+            self.recorder.record(Observation::Unanswered { relay, id: message_id(message) });
         }
     }
 }
 
-/// A command as it goes over the wire.
+/// Returns the bytes of a command.
 pub(crate) fn request(words: &[&str]) -> Vec<u8> {
     let mut text = format!("*{}\r\n", words.len());
     for word in words {
@@ -202,40 +210,40 @@
     text.into_bytes()
 }
 
-/// A client that submits messages until the run is over, over two connections as long as these last. What is refused, or gets no
-/// answer, it hands in again as a new message, before the next one of its key.
-async fn submit_all(clients: Arc<Clients>, relay: usize, key: u64, mut random: ChaCha8Rng) {
-    let mut kept: [Option<TcpStream>; CONNECTIONS] = Default::default();
+/// Runs a client that submits messages until the run is over, and keeps its connections open as long as they last.
+/// Messages that are not accepted or get no answer are submitted again as new messages, before the next one of the key.
+async fn run_client(clients: Arc<Clients>, relay: usize, key: u64, mut random: ChaCha8Rng) {
+    let mut connections: [Option<TcpStream>; CONNECTIONS] = Default::default();
     while !clients.is_over.load(Ordering::SeqCst) {
         Timer::after(Duration::from_millis(random.random_range(1..2 * MEAN_PAUSE_MS))).await;
-        let mut submission = clients.submission(relay, key, &mut random);
-        for tries_left in (0..MAX_TRIES).rev() {
-            let connection = &mut kept[random.random_range(0..CONNECTIONS)];
-            if clients.copied[relay].load(Ordering::SeqCst) && random.random_bool(COPIED) {
+        let mut submission = clients.draw_submission(relay, key, &mut random);
+        for submissions_left in (0..MAX_SUBMISSIONS).rev() {
+            let connection = &mut connections[random.random_range(0..CONNECTIONS)];
+            if clients.ids_copied[relay].load(Ordering::SeqCst) && random.random_bool(COPY_PROBABILITY) {
                 send_copy(&clients, relay, &submission, &mut random).await;
             }
             let answer = submit(&clients, relay, connection, &submission).await;
-            clients.note_answer(submission.number, answer);
-            if answer != Answer::Accepted && answer != Answer::Refused || random.random_range(0..4) == 0 {
+            clients.record_answer(submission.number, answer);
+            if answer != Answer::Accepted && answer != Answer::NotAccepted || random.random_range(0..4) == 0 {
                 *connection = None;
             }
-            let why = match answer {
+            let reason = match answer {
                 Answer::Accepted => break,
-                Answer::Refused => Again::AfterRefusal,
-                Answer::None | Answer::Late => Again::AfterSilence,
+                Answer::NotAccepted => ResubmitReason::NotAccepted,
+                Answer::Missing | Answer::TimedOut => ResubmitReason::NoAnswer,
             };
-            if tries_left == 0 || random.random_bool(GIVES_UP) {
+            if submissions_left == 0 || random.random_bool(GIVE_UP_PROBABILITY) {
                 break;
             }
-            if why == Again::AfterRefusal {
+            if reason == ResubmitReason::NotAccepted {
                 Timer::after(Duration::from_millis(random.random_range(5..MEAN_PAUSE_MS))).await;
             }
-            submission = clients.submission_again(relay, &submission, why);
+            submission = clients.resubmission(relay, &submission, reason);
         }
     }
 }
 
-/// Submits a message, once more on a new connection if a kept one ended with no answer.
+/// Submits a message. If a kept connection ends without an answer, submits it again on a new connection.
 async fn submit(
     clients: &Clients,
     relay: usize,
@@ -244,29 +252,30 @@
 ) -> Answer {
     if let Some(mut stream) = kept.take() {
         match exchange(&mut stream, &submission.bytes).await {
-            // The relay may close a connection between requests: what it has not read comes again.
-            Answer::None => {}
+            // The relay may close a connection between two requests without reading the second one, which is sent
+            // again.
+            Answer::Missing => {}
             answer => {
                 *kept = Some(stream);
                 return answer;
             }
         }
     }
-    // The time of the message counts from here, so the client does not wait longer for the connection than for the answer.
-    let late = async {
-        Timer::after(PATIENCE).await;
+    // The message's deadline runs already, so the client waits for a connection no longer than for an answer.
+    let timeout = async {
+        Timer::after(ANSWER_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    let mut stream = match TcpStream::connect(clients.relays[relay].listen).or(late).await {
+    let mut stream = match TcpStream::connect(clients.relays[relay].listen).or(timeout).await {
         Ok(stream) => stream,
-        Err(e) if e.kind() == io::ErrorKind::TimedOut => return Answer::Late,
-        Err(_) => return Answer::None,
+        Err(e) if e.kind() == io::ErrorKind::TimedOut => return Answer::TimedOut,
+        Err(_) => return Answer::Missing,
     };
     let _ = stream.set_nodelay(true);
     let written_at = clients.recorder.now();
     let answer = exchange(&mut stream, &submission.bytes).await;
-    if answer == Answer::None {
-        clients.note_unanswered(relay, submission.number, written_at);
+    if answer == Answer::Missing {
+        clients.record_unanswered(relay, submission.number, written_at);
     }
     *kept = Some(stream);
     answer
@@ -274,35 +283,34 @@
 
 /// Writes a request and reads its answer.
 pub(crate) async fn exchange(stream: &mut TcpStream, bytes: &[u8]) -> Answer {
-    let answered = async {
-        // Some requests come in two pieces.
-        let (first, rest) = if bytes.len().is_multiple_of(PIECES_IN) {
+    let answer = async {
+        let (first, rest) = if bytes.len().is_multiple_of(SPLIT_LENGTH_DIVISOR) {
             bytes.split_at(bytes.len() / 2)
         } else {
             (bytes, &bytes[..0])
         };
         if stream.write_all(first).await.is_err() {
-            return Answer::None;
+            return Answer::Missing;
         }
         if !rest.is_empty() {
-            Timer::after(PIECE_PAUSE).await;
-            // A rejection may be here already; then the rest counts for nothing.
+            Timer::after(SPLIT_PAUSE).await;
+            // The relay may have rejected the message after the first piece, so a failure does not matter.
             let _ = stream.write_all(rest).await;
         }
         match read_line(stream).await {
             Ok(line) if line.starts_with('+') => Answer::Accepted,
-            Ok(line) if line.starts_with('-') => Answer::Refused,
-            _ => Answer::None,
+            Ok(line) if line.starts_with('-') => Answer::NotAccepted,
+            _ => Answer::Missing,
         }
     };
-    let late = async {
-        Timer::after(PATIENCE).await;
-        Answer::Late
+    let timeout = async {
+        Timer::after(ANSWER_TIMEOUT).await;
+        Answer::TimedOut
     };
-    answered.or(late).await
+    answer.or(timeout).await
 }
 
-/// A line; empty at the end of the connection.
+/// Reads a line, which is empty at the end of the connection.
 pub(crate) async fn read_line(stream: &mut TcpStream) -> io::Result<String> {
     let mut line = String::new();
     let mut byte = [0];
--- a/crates/soak/src/copies.rs
+++ b/crates/soak/src/copies.rs
@@ -1,4 +1,4 @@
-//! A client that hands in messages under the ids of others: a message of its own, or the very same one.
+//! A client that submits messages under the ids of other clients' messages: a different or an identical message.
 
 use crate::client::{Clients, Submission, exchange, request};
 use crate::recorder::Observation;
@@ -8,34 +8,34 @@
 use smol::net::TcpStream;
 use std::time::Duration;
 
-/// The body of a message that stands under another one's id.
+/// Body of a different message under a copied id.
 pub(crate) const COPY_BODY: &str = "copy";
-/// The key of such a message: no other client's.
+/// Ordering key of a different message under a copied id; no other client uses it.
 const COPY_KEY: u64 = 99;
-/// One copy in so many is the very same message.
-const SAME_IN: u32 = 4;
-/// Every second copy is on its way for so long before the message that it copies; the others race with it.
-const AHEAD: Duration = Duration::from_millis(15);
+/// One copy in this number is identical to the original message.
+const IDENTICAL_COPY_IN: u32 = 4;
+/// Time by which every second copy is sent before the original message; the others race with it.
+const HEAD_START: Duration = Duration::from_millis(15);
 
-/// Hands a copy in, just before its message. Every second such client is gone at once, by a reset.
+/// Submits a copy just before its original message. Every second copying client resets its connection shortly after.
 pub(crate) async fn send_copy(
     clients: &Clients,
     relay: usize,
     original: &Submission,
     random: &mut ChaCha8Rng,
 ) {
-    let is_same = random.random_range(0..SAME_IN) == 0;
-    if is_same {
-        clients.recorder.note(Observation::Copied { message: original.number });
+    let is_identical = random.random_range(0..IDENTICAL_COPY_IN) == 0;
+    if is_identical {
+        clients.recorder.record(Observation::IdenticalCopySubmitted { message: original.number });
     }
-    let bytes = if is_same { original.bytes.clone() } else { other_message(original) };
-    let goes_at_once = random.random_bool(0.5);
-    let at = clients.relays[relay].listen;
+    let bytes = if is_identical { original.bytes.clone() } else { different_message(original) };
+    let resets_connection = random.random_bool(0.5);
+    let address = clients.relays[relay].listen;
     let copy = smol::spawn(async move {
-        let Ok(mut stream) = TcpStream::connect(at).await else { return };
-        if goes_at_once {
+        let Ok(mut stream) = TcpStream::connect(address).await else { return };
+        if resets_connection {
             let _ = smol::io::AsyncWriteExt::write_all(&mut stream, &bytes).await;
-            Timer::after(AHEAD / 2).await;
+            Timer::after(HEAD_START / 2).await;
             crate::http::reset(&stream);
         } else {
             exchange(&mut stream, &bytes).await;
@@ -43,14 +43,15 @@
     });
     copy.detach();
     if random.random_bool(0.5) {
-        Timer::after(AHEAD).await;
+        Timer::after(HEAD_START).await;
     }
 }
 
-/// Another message under the same id: of a class in order where the original is in none, and the other way round.
-fn other_message(original: &Submission) -> Vec<u8> {
+/// Returns a different message under the same id: of an ordered class if the original is of an unordered one, and vice
+/// versa.
+fn different_message(original: &Submission) -> Vec<u8> {
     let class = if original.key == 0 { "line" } else { "any" };
     let key = if original.key == 0 { COPY_KEY } else { 0 };
-    let metadata = format!("c={class},d=4000,dest={}", original.destination);
-    request(&["OUT.ADD", &format!("{key:016x}"), &original.id, &metadata, COPY_BODY])
+    let options = format!("c={class},d=4000,dest={}", original.destination);
+    request(&["OUT.ADD", &format!("{key:016x}"), &original.id, &options, COPY_BODY])
 }
--- a/crates/soak/src/early_end.rs
+++ b/crates/soak/src/early_end.rs
@@ -1,44 +1,44 @@
-//! Messages that were given up early though nothing kept them from being sent: no attempt reached an endpoint, the
-//! endpoints of their destination were well all the time, and no process of the relay ended. What fails on the relay's
-//! own machine then must not use their attempts up.
+//! Finds messages that failed early although nothing prevented sending them: no attempt reached an endpoint, the
+//! endpoints of their destination had no faults all the time, and no process of the relay ended. Failures of local
+//! system calls must not use up the attempts of a message.
 
 use crate::installation::Installation;
 use crate::oracle::SoakBreach;
-use crate::recorder::{Observation, message_id, relay_of};
+use crate::recorder::{Observation, message_id, relay_of_message};
 use mountshift_invariants::{Fact, FinalAnswer, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A message is given up early if more than this share of its time is left.
-const EARLY_SHARE: f64 = 0.3;
-/// What an endpoint's trouble leaves behind (breaker, slow start) is over after so long, in microseconds.
-const AFTERMATH: Time = 10_000_000;
+/// Share of the time from submission to deadline. A message fails early if more than this share remains.
+const EARLY_REMAINING_SHARE: f64 = 0.3;
+/// Time, in microseconds, after which the effects of an endpoint's fault (breaker, slow start) are over.
+const FAULT_AFTEREFFECT: Time = 10_000_000;
 
-/// A message that has had no attempt so far.
-struct Untried {
+/// A message without an attempt so far.
+struct UnattemptedMessage {
     destination: u32,
     submitted_at: Time,
     deadline: Time,
 }
 
-/// Messages that were failed early and untried for no reason that the stand-ins know of.
+/// Returns breaches for messages that failed early and without an attempt, for no reason that the stand-ins observed.
 pub(crate) fn early_ends(
     installation: &Installation,
     observations: &[(Time, Observation)],
 ) -> Vec<SoakBreach> {
     let mut search = Search::default();
-    let found =
+    let breaches =
         observations.iter().filter_map(|(at, observation)| search.observe(installation, *at, observation));
-    found.collect()
+    breaches.collect()
 }
 
-/// What is known so far.
+/// State after the observations so far.
 #[derive(Default)]
 struct Search {
-    untried: BTreeMap<u64, Untried>,
-    troubled_endpoints: BTreeSet<usize>,
-    /// Until when the trouble of a destination's endpoints may be felt.
-    troubled_until: BTreeMap<u32, Time>,
-    /// When a process of the relay ended last, or stood still.
+    unattempted: BTreeMap<u64, UnattemptedMessage>,
+    faulty_endpoints: BTreeSet<usize>,
+    /// Time until which faults of a destination's endpoints may have effects.
+    fault_effects_until: BTreeMap<u32, Time>,
+    /// Time at which a process of the relay last ended or stalled.
     relay_ended_at: BTreeMap<usize, Time>,
 }
 
@@ -51,46 +51,57 @@
     ) -> Option<SoakBreach> {
         match observation {
             Observation::EndpointFault { endpoint, is_over } => {
-                self.endpoint_trouble(installation, at, *endpoint, *is_over);
+                self.record_endpoint_fault(installation, at, *endpoint, *is_over);
             }
             Observation::Fact(Fact::Submitted { message, destination, deadline, .. }) => {
                 let (destination, deadline) = (*destination, *deadline);
-                self.untried.insert(*message, Untried { destination, submitted_at: at, deadline });
+                self.unattempted
+                    .insert(*message, UnattemptedMessage { destination, submitted_at: at, deadline });
             }
             Observation::Fact(Fact::AttemptStarted { message, .. }) => {
-                self.untried.remove(message);
+                self.unattempted.remove(message);
             }
             Observation::Fact(Fact::RelayDown { relay } | Fact::RelayStalled { relay, .. }) => {
                 self.relay_ended_at.insert(*relay as usize, at);
             }
             Observation::Fact(Fact::FinalAnswerGiven { message, answer: FinalAnswer::Failed, .. }) => {
-                let untried = self.untried.remove(message)?;
-                return self.is_early(&untried, relay_of(*message), at).then(|| breach(*message, at));
+                let unattempted = self.unattempted.remove(message)?;
+                return self
+                    .is_early(&unattempted, relay_of_message(*message), at)
+                    .then(|| breach(*message, at));
             }
             _ => {}
         }
         None
     }
 
-    fn endpoint_trouble(&mut self, installation: &Installation, at: Time, endpoint: usize, is_over: bool) {
+    fn record_endpoint_fault(
+        &mut self,
+        installation: &Installation,
+        at: Time,
+        endpoint: usize,
+        is_over: bool,
+    ) {
         if is_over {
-            self.troubled_endpoints.remove(&endpoint);
+            self.faulty_endpoints.remove(&endpoint);
         } else {
-            self.troubled_endpoints.insert(endpoint);
+            self.faulty_endpoints.insert(endpoint);
         }
         let destination_of = |endpoint: usize| installation.endpoints[endpoint].destination;
         let destination = destination_of(endpoint);
-        let is_troubled = self.troubled_endpoints.iter().any(|other| destination_of(*other) == destination);
-        self.troubled_until.insert(destination, if is_troubled { Time::MAX } else { at + AFTERMATH });
+        let is_faulty = self.faulty_endpoints.iter().any(|other| destination_of(*other) == destination);
+        self.fault_effects_until
+            .insert(destination, if is_faulty { Time::MAX } else { at + FAULT_AFTEREFFECT });
     }
 
-    fn is_early(&self, untried: &Untried, relay: usize, at: Time) -> bool {
-        let since = untried.submitted_at;
-        let span = untried.deadline.saturating_sub(since) as f64;
-        let left = untried.deadline.saturating_sub(at) as f64;
-        let was_troubled = self.troubled_until.get(&untried.destination).is_some_and(|until| *until >= since);
+    fn is_early(&self, unattempted: &UnattemptedMessage, relay: usize, at: Time) -> bool {
+        let since = unattempted.submitted_at;
+        let total = unattempted.deadline.saturating_sub(since) as f64;
+        let remaining = unattempted.deadline.saturating_sub(at) as f64;
+        let was_faulty =
+            self.fault_effects_until.get(&unattempted.destination).is_some_and(|until| *until >= since);
         let relay_ended = self.relay_ended_at.get(&relay).is_some_and(|ended_at| *ended_at >= since);
-        left > span * EARLY_SHARE && !was_troubled && !relay_ended
+        remaining > total * EARLY_REMAINING_SHARE && !was_faulty && !relay_ended
     }
 }
 
@@ -98,10 +109,10 @@
     let id = message_id(message);
     SoakBreach {
         description: format!(
-            "{:.3} s: {id} is given up early with no call, though its endpoints are well",
+            "{:.3} s: {id} failed early without an attempt though its endpoints have no faults",
             at as f64 / 1e6
         ),
         message: Some(id),
-        relay: Some(relay_of(message)),
+        relay: Some(relay_of_message(message)),
     }
 }
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -1,12 +1,12 @@
-//! Endpoints: servers that run messages, recognise repeats, and misbehave when told to.
+//! Stand-in endpoints: servers that execute messages, recognise duplicates, and misbehave while a fault lasts.
 
 use crate::copies::COPY_BODY;
-use crate::http::{Request, RequestReader, answer, reset};
+use crate::http::{Request, RequestReader, reset, response};
 use crate::installation::Installation;
 use crate::malformed_response::{MalformedResponse, send_malformed_response};
 use crate::recorder::Observation;
-use crate::recorder::{Recorder, lock, message_id, number_of_id, relay_of};
-use crate::wire_end::{Ender, WireEnd, WrittenAnswer};
+use crate::recorder::{Recorder, lock, message_id, parse_message_id, relay_of_message};
+use crate::wire_end::{ConnectionSide, WireEnd, WrittenResponse};
 use mountshift_invariants::{Fact, Time};
 use smol::Timer;
 use smol::future::FutureExt;
@@ -19,48 +19,48 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Between two looks at something that may have changed.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// What a call takes when all is well.
+/// Poll interval for changes of the behaviour and of a connection.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Duration of a call at an endpoint without a fault.
 const SERVICE_TIME: Duration = Duration::from_millis(3);
-/// Bytes of a request that an endpoint reads before it resets the connection in the middle.
+/// Number of bytes of a request that an endpoint examines before it resets the connection in the middle.
 const BYTES_BEFORE_RESET: usize = 40;
-/// The beginning of an answer that never goes on: not enough to tell a status.
-const HALF_ANSWER: &str = "HTTP/1.1 2";
+/// Beginning of an incomplete response, too short to contain a status.
+const PARTIAL_RESPONSE: &str = "HTTP/1.1 2";
 
-/// For so long an endpoint that lets connections come up late takes none.
-const NO_ROOM_FOR: Duration = Duration::from_millis(900);
-/// Connections that may wait to be taken otherwise.
+/// Time for which an endpoint that delays connections accepts none.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(900);
+/// Listen backlog of an endpoint that accepts connections.
 const BACKLOG: i32 = 128;
 
-/// How an endpoint behaves.
+/// Behaviour of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Behaviour {
     Normal,
-    /// Reads requests and never answers.
+    /// Reads requests and never responds.
     Hang,
-    /// 503.
+    /// Responds with 503.
     Busy,
-    /// 429 with a wait of so many milliseconds.
+    /// Responds with 429 and this Retry-After in milliseconds.
     RetryAfter(u64),
-    /// 500, after the message has run or not.
+    /// Responds with 500, whether or not the message was executed.
     Errors,
-    /// Answers so many milliseconds later.
+    /// Responds after this number of milliseconds.
     Slow(u64),
-    /// Resets the connection in the middle of a request, or before the answer.
+    /// Resets the connection in the middle of a request, or before the response.
     Reset,
-    /// Begins an answer and stops.
+    /// Sends the beginning of a response and stops.
     HalfAnswer,
-    /// Answers with what is no whole answer, in one way after the other.
+    /// Sends incomplete or malformed responses, each call with another defect.
     MalformedResponses,
-    /// Lets connections come up late.
+    /// Delays new connections.
     LateConnects,
-    /// Closes connections that are idle.
+    /// Closes idle connections.
     CloseIdle,
 }
 
-/// What recognises a repeat, where something does: a destination, or one zone of it.
-type Scope = (u32, Option<usize>);
+/// Scope in which duplicates are recognised: a destination, or one zone of it.
+type DeduplicationScope = (u32, Option<usize>);
 
 /// All endpoints of a run.
 pub(crate) struct Endpoints {
@@ -70,13 +70,13 @@
     addresses: Mutex<Vec<SocketAddr>>,
     /// The class of each message, by its number.
     classes: Mutex<BTreeMap<u64, usize>>,
-    /// When a message first ran where its repeats are recognised.
-    first_runs: Mutex<BTreeMap<(Scope, u64), Time>>,
+    /// Time of a message's first execution in a deduplication scope.
+    first_executions: Mutex<BTreeMap<(DeduplicationScope, u64), Time>>,
     last_call: AtomicU64,
 }
 
 impl Endpoints {
-    /// Starts them, each on a port of its own.
+    /// Starts the endpoints, each on a port of its own.
     pub(crate) async fn start(
         installation: &Installation,
         recorder: &Arc<Recorder>,
@@ -87,14 +87,14 @@
             behaviours: installation.endpoints.iter().map(|_| Mutex::new(Behaviour::Normal)).collect(),
             addresses: Mutex::default(),
             classes: Mutex::default(),
-            first_runs: Mutex::default(),
+            first_executions: Mutex::default(),
             last_call: AtomicU64::new(0),
         });
         for number in 0..installation.endpoints.len() {
             let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
             lock(&endpoints.addresses).push(listener.local_addr()?);
             let plan = &installation.endpoints[number];
-            recorder.fact(Fact::EndpointAdded {
+            recorder.record_fact(Fact::EndpointAdded {
                 endpoint: number as u32,
                 destination: plan.destination,
                 zone: plan.zone as u8,
@@ -114,8 +114,8 @@
         *lock(&self.behaviours[endpoint]) = behaviour;
     }
 
-    /// Tells the class of a message, before it is submitted.
-    pub(crate) fn announce(&self, message: u64, class: usize) {
+    /// Registers the class of a message; called before its submission.
+    pub(crate) fn register_message(&self, message: u64, class: usize) {
         lock(&self.classes).insert(message, class);
     }
 
@@ -123,85 +123,93 @@
         *lock(&self.behaviours[endpoint])
     }
 
-    fn run(&self, call: &Call) {
-        for called in &call.messages {
-            self.run_one(call.endpoint, *called);
+    fn execute_all(&self, call: &Call) {
+        for attempt in &call.attempts {
+            self.execute(call.endpoint, *attempt);
         }
     }
 
-    fn run_one(&self, endpoint: usize, called: CalledMessage) {
-        let CalledMessage { message, number, is_copy } = called;
+    fn execute(&self, endpoint: usize, attempt: Attempt) {
+        let Attempt { message, number, is_copy } = attempt;
         if is_copy {
             return;
         }
         let duplicate = self.is_duplicate(endpoint, message);
-        self.recorder.fact(Fact::Executed { message, call: number, endpoint: endpoint as u32, duplicate });
+        self.recorder.record_fact(Fact::Executed {
+            message,
+            call: number,
+            endpoint: endpoint as u32,
+            duplicate,
+        });
     }
 
-    /// True if the endpoint recognises the message as one that has run.
+    /// Returns whether the endpoint recognises the message as one that was executed before.
     fn is_duplicate(&self, endpoint: usize, message: u64) -> bool {
         let Some(class) = lock(&self.classes).get(&message).copied() else { return false };
         let class = &self.installation.classes[class];
-        if class.effect != "deduplicated" {
+        if class.idempotency != "deduplicated" {
             return false;
         }
         let plan = &self.installation.endpoints[endpoint];
-        let scope = (plan.destination, class.by_zone.then_some(plan.zone));
+        let scope = (plan.destination, class.is_per_zone.then_some(plan.zone));
         let now = self.recorder.now();
-        let mut first_runs = lock(&self.first_runs);
-        let first = *first_runs.entry((scope, message)).or_insert(now);
-        first < now && now < first + class.window_ms * 1_000
+        let mut first_executions = lock(&self.first_executions);
+        let first = *first_executions.entry((scope, message)).or_insert(now);
+        first < now && now < first + class.deduplication_window_ms * 1_000
     }
 }
 
-/// A message in a call; its attempt has a number of its own.
+/// An attempt: one message in one call.
 #[derive(Clone, Copy)]
-struct CalledMessage {
+struct Attempt {
     message: u64,
+    /// Number of the attempt, which facts use as the number of its call.
     number: u64,
-    /// Another client's message under the same id, of which nothing is checked but the answers to clients.
+    /// Whether this is another client's message under a copied id. Of such messages only the answers to clients are
+    /// checked.
     is_copy: bool,
 }
 
-/// A call that an endpoint has read whole.
+/// A call whose request has been read completely.
 struct Call {
-    messages: Vec<CalledMessage>,
+    attempts: Vec<Attempt>,
     relay: u32,
     endpoint: usize,
     recorder: Arc<Recorder>,
 }
 
 impl Call {
-    /// Notes that all attempts have ended in this way.
-    fn ended(&self, end: WireEnd) {
-        for called in &self.messages {
-            self.one_ended(*called, end);
+    /// Records this end for all attempts.
+    fn record_end(&self, end: WireEnd) {
+        for attempt in &self.attempts {
+            self.record_attempt_end(*attempt, end);
         }
     }
 
-    /// Notes that the connection ended with nothing, or only a part, of an answer written.
-    fn broken_off(&self, answer: WrittenAnswer, ended_by: Ender) {
-        self.ended(WireEnd { answer, ended_by: Some(ended_by) });
+    /// Records that the connection was closed after no response, or only a part of it, was written.
+    fn record_closed(&self, response: WrittenResponse, closed_by: ConnectionSide) {
+        self.record_end(WireEnd { response, closed_by: Some(closed_by) });
     }
 
-    fn one_ended(&self, called: CalledMessage, end: WireEnd) {
-        let CalledMessage { message, number, is_copy } = called;
+    fn record_attempt_end(&self, attempt: Attempt, end: WireEnd) {
+        let Attempt { message, number, is_copy } = attempt;
         if !is_copy {
             let relay = self.relay;
-            self.recorder.note(Observation::AttemptEnded { message, call: number, relay, end });
+            self.recorder.record(Observation::AttemptEnded { message, call: number, relay, end });
         }
     }
 
-    /// True for a call that carries out what it brings though it is not answered so: every second one.
-    fn runs_unanswered(&self) -> bool {
-        self.messages.iter().any(|called| called.number.is_multiple_of(2))
+    /// Returns whether the messages are executed although the response does not report a delivery: in every second
+    /// call.
+    fn executes_without_delivery_response(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.number.is_multiple_of(2))
     }
 }
 
 async fn accept(listener: TcpListener, endpoint: usize, endpoints: Arc<Endpoints>) {
     loop {
         if endpoints.behaviour(endpoint) == Behaviour::LateConnects {
-            hold_connections(&listener).await;
+            delay_connections(&listener).await;
         }
         if let Ok((stream, _)) = listener.accept().await {
             smol::spawn(serve(stream, endpoint, endpoints.clone())).detach();
@@ -209,86 +217,86 @@
     }
 }
 
-/// Takes no connection for a while and has no room for more than one to wait: the others come up once the relay's system asks
-/// again, which is a second after it first did. What waited meanwhile is cut off unread: its calls may have been given up by now, and
-/// would seem to arrive late.
-async fn hold_connections(listener: &TcpListener) {
+/// Accepts no connection for a while, with a backlog for only one. The other connections are established when the
+/// relay's kernel repeats its SYN, a second after the first one. Connections that waited in the backlog are reset
+/// unread: the relay may have cancelled their calls, which would then appear to arrive late.
+async fn delay_connections(listener: &TcpListener) {
     let _ = rustix::net::listen(listener, 0);
-    Timer::after(NO_ROOM_FOR).await;
-    while let Some(Ok((waited, _))) = smol::future::poll_once(listener.accept()).await {
-        reset(&waited);
+    Timer::after(ACCEPT_PAUSE).await;
+    while let Some(Ok((waiting, _))) = smol::future::poll_once(listener.accept()).await {
+        reset(&waiting);
     }
     let _ = rustix::net::listen(listener, BACKLOG);
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it is closed.
 async fn serve(mut stream: TcpStream, endpoint: usize, endpoints: Arc<Endpoints>) {
     let _ = stream.set_nodelay(true);
     let mut reader = RequestReader::default();
     let mut calls = 0;
     loop {
         let request = {
-            let closes = close_idle(&endpoints, endpoint, calls > 0 && !reader.has_begun());
-            let cut = cut_request(&endpoints, endpoint, &stream);
+            let close = close_idle(&endpoints, endpoint, calls > 0 && !reader.has_begun());
+            let reset = reset_mid_request(&endpoints, endpoint, &stream);
             let next = async { reader.next(&mut stream.clone()).await.ok().flatten() };
-            next.or(closes).or(cut).await
+            next.or(close).or(reset).await
         };
         let Some(request) = request else { return };
         calls += 1;
         let Some(call) = begin_call(&request, endpoint, &endpoints) else { return };
-        if !answer_call(&mut stream, &call, &endpoints).await {
+        if !respond(&mut stream, &call, &endpoints).await {
             return;
         }
     }
 }
 
-/// Notes the attempts that a request begins; none if it is no call to an endpoint.
+/// Records the attempts of a request. Returns `None` if the request is not a call to an endpoint.
 fn begin_call(request: &Request, endpoint: usize, endpoints: &Endpoints) -> Option<Call> {
-    let mut messages = Vec::new();
+    let mut attempts = Vec::new();
     for called in request.messages()? {
         let number = endpoints.last_call.fetch_add(1, Ordering::SeqCst) + 1;
         let is_copy = called.body == COPY_BODY.as_bytes();
-        messages.push(CalledMessage { message: number_of_id(&called.id)?, number, is_copy });
+        attempts.push(Attempt { message: parse_message_id(&called.id)?, number, is_copy });
     }
-    let relay = relay_of(messages.first()?.message) as u32;
-    for CalledMessage { message, number, .. } in messages.iter().copied().filter(|called| !called.is_copy) {
-        endpoints.recorder.fact(Fact::AttemptStarted {
+    let relay = relay_of_message(attempts.first()?.message) as u32;
+    for Attempt { message, number, .. } in attempts.iter().copied().filter(|attempt| !attempt.is_copy) {
+        endpoints.recorder.record_fact(Fact::AttemptStarted {
             message,
             call: number,
             relay,
             endpoint: endpoint as u32,
         });
     }
-    Some(Call { messages, relay, endpoint, recorder: endpoints.recorder.clone() })
+    Some(Call { attempts, relay, endpoint, recorder: endpoints.recorder.clone() })
 }
 
-/// Ends an idle connection, where the endpoint closes them.
+/// Returns once the endpoint's behaviour is to close idle connections and this one is idle.
 async fn close_idle<T>(endpoints: &Endpoints, endpoint: usize, is_idle: bool) -> Option<T> {
     loop {
-        Timer::after(LOOK_INTERVAL).await;
+        Timer::after(POLL_INTERVAL).await;
         if is_idle && endpoints.behaviour(endpoint) == Behaviour::CloseIdle {
             return None;
         }
     }
 }
 
-/// Resets a connection in the middle of a request, where the endpoint does that.
-async fn cut_request<T>(endpoints: &Endpoints, endpoint: usize, stream: &TcpStream) -> Option<T> {
+/// Resets the connection in the middle of a request if the endpoint behaves that way.
+async fn reset_mid_request<T>(endpoints: &Endpoints, endpoint: usize, stream: &TcpStream) -> Option<T> {
     loop {
-        let mut begun = [0; BYTES_BEFORE_RESET];
-        let has_begun = matches!(stream.peek(&mut begun).await, Ok(read) if read > 0);
-        // Every second request is read whole and reset before its answer.
-        let is_cut = begun.iter().map(|byte| u64::from(*byte)).sum::<u64>() % 2 == 0;
-        if has_begun && is_cut && endpoints.behaviour(endpoint) == Behaviour::Reset {
+        let mut first_bytes = [0; BYTES_BEFORE_RESET];
+        let has_begun = matches!(stream.peek(&mut first_bytes).await, Ok(read) if read > 0);
+        // Requests whose first bytes have an odd sum are read completely and reset before the response.
+        let is_reset_mid_request = first_bytes.iter().map(|byte| u64::from(*byte)).sum::<u64>() % 2 == 0;
+        if has_begun && is_reset_mid_request && endpoints.behaviour(endpoint) == Behaviour::Reset {
             reset(stream);
             return None;
         }
-        Timer::after(LOOK_INTERVAL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Answers a call by the endpoint's behaviour at this moment; false at the end of the connection.
-async fn answer_call(stream: &mut TcpStream, call: &Call, endpoints: &Endpoints) -> bool {
+/// Responds to a call by the endpoint's present behaviour. Returns whether the connection stays open.
+async fn respond(stream: &mut TcpStream, call: &Call, endpoints: &Endpoints) -> bool {
     match endpoints.behaviour(call.endpoint) {
         Behaviour::Normal | Behaviour::CloseIdle | Behaviour::LateConnects => {
             deliver(stream, call, SERVICE_TIME, endpoints).await
@@ -297,130 +305,130 @@
             deliver(stream, call, Duration::from_millis(milliseconds), endpoints).await
         }
         Behaviour::Hang => {
-            if call.runs_unanswered() {
-                endpoints.run(call);
+            if call.executes_without_delivery_response() {
+                endpoints.execute_all(call);
             }
-            wait_for_end(stream).await;
-            call.broken_off(WrittenAnswer::Nothing, Ender::Relay);
+            wait_for_close(stream).await;
+            call.record_closed(WrittenResponse::Nothing, ConnectionSide::Relay);
             false
         }
         Behaviour::Busy => {
-            call.ended(WireEnd::answered(WrittenAnswer::Refused(0)));
-            write(stream, &answer(503, "", "")).await
+            call.record_end(WireEnd::responded(WrittenResponse::Refused(0)));
+            write(stream, &response(503, "", "")).await
         }
         Behaviour::RetryAfter(milliseconds) => {
-            call.ended(WireEnd::answered(WrittenAnswer::Refused(milliseconds * 1_000)));
+            call.record_end(WireEnd::responded(WrittenResponse::Refused(milliseconds * 1_000)));
             let seconds = milliseconds as f64 / 1e3;
-            write(stream, &answer(429, &format!("Retry-After: {seconds}\r\n"), "")).await
+            write(stream, &response(429, &format!("Retry-After: {seconds}\r\n"), "")).await
         }
-        Behaviour::Errors if call.messages.len() > 1 => fail_in_part(stream, call, endpoints).await,
+        Behaviour::Errors if call.attempts.len() > 1 => respond_partly_failed(stream, call, endpoints).await,
         Behaviour::Errors => {
-            if call.runs_unanswered() {
-                endpoints.run(call);
+            if call.executes_without_delivery_response() {
+                endpoints.execute_all(call);
             }
-            call.ended(WireEnd::answered(WrittenAnswer::Failed));
-            write(stream, &answer(500, "", "")).await
+            call.record_end(WireEnd::responded(WrittenResponse::Failed));
+            write(stream, &response(500, "", "")).await
         }
         Behaviour::Reset => {
-            endpoints.run(call);
-            call.broken_off(WrittenAnswer::Nothing, Ender::Endpoint);
+            endpoints.execute_all(call);
+            call.record_closed(WrittenResponse::Nothing, ConnectionSide::Endpoint);
             reset(stream);
             false
         }
         Behaviour::HalfAnswer => {
-            endpoints.run(call);
-            let _ = write(stream, HALF_ANSWER).await;
-            wait_for_end(stream).await;
-            call.broken_off(WrittenAnswer::Part, Ender::Relay);
+            endpoints.execute_all(call);
+            let _ = write(stream, PARTIAL_RESPONSE).await;
+            wait_for_close(stream).await;
+            call.record_closed(WrittenResponse::Part, ConnectionSide::Relay);
             false
         }
         Behaviour::MalformedResponses => {
-            spoil_answer(stream, call, endpoints).await;
+            respond_malformed(stream, call, endpoints).await;
             false
         }
     }
 }
 
-async fn spoil_answer(stream: &mut TcpStream, call: &Call, endpoints: &Endpoints) {
-    let number = call.messages.first().map_or(0, |called| called.number);
-    let spoilt = MalformedResponse::of_call(number, call.messages.len());
-    if spoilt.delivers() || call.runs_unanswered() {
-        endpoints.run(call);
+async fn respond_malformed(stream: &mut TcpStream, call: &Call, endpoints: &Endpoints) {
+    let number = call.attempts.first().map_or(0, |attempt| attempt.number);
+    let malformed = MalformedResponse::of_call(number, call.attempts.len());
+    if malformed.reports_delivery() || call.executes_without_delivery_response() {
+        endpoints.execute_all(call);
     }
-    if spoilt.delivers() {
-        for called in call.messages.iter().filter(|called| !called.is_copy) {
-            let (message, call) = (called.message, called.number);
-            endpoints.recorder.fact(Fact::DeliveryAnswered { message, call });
+    if malformed.reports_delivery() {
+        for attempt in call.attempts.iter().filter(|attempt| !attempt.is_copy) {
+            let (message, call) = (attempt.message, attempt.number);
+            endpoints.recorder.record_fact(Fact::DeliveryAnswered { message, call });
         }
     }
     let relay_side = stream.clone();
-    let end = send_malformed_response(stream, spoilt, wait_for_end(&relay_side)).await;
-    call.ended(end);
+    let end = send_malformed_response(stream, malformed, wait_for_close(&relay_side)).await;
+    call.record_end(end);
 }
 
-/// Answers a call of several messages with a word of its own for each, by the number of its attempt.
-async fn fail_in_part(stream: &mut TcpStream, call: &Call, endpoints: &Endpoints) -> bool {
+/// Responds to a batch with a different result for each message, by the number of its attempt.
+async fn respond_partly_failed(stream: &mut TcpStream, call: &Call, endpoints: &Endpoints) -> bool {
     let mut lines = String::new();
-    for called in call.messages.iter().copied() {
-        let word = match called.number % 3 {
+    for attempt in call.attempts.iter().copied() {
+        let word = match attempt.number % 3 {
             0 => {
-                deliver_one(call, called, endpoints);
+                execute_and_record_delivery(call, attempt, endpoints);
                 "delivered"
             }
             1 => {
-                endpoints.run_one(call.endpoint, called);
-                call.one_ended(called, WireEnd::answered(WrittenAnswer::Failed));
+                endpoints.execute(call.endpoint, attempt);
+                call.record_attempt_end(attempt, WireEnd::responded(WrittenResponse::Failed));
                 "failed"
             }
             _ => {
-                call.one_ended(called, WireEnd::answered(WrittenAnswer::Refused(0)));
+                call.record_attempt_end(attempt, WireEnd::responded(WrittenResponse::Refused(0)));
                 "refused"
             }
         };
-        lines += &format!("{} {word}\r\n", message_id(called.message));
+        lines += &format!("{} {word}\r\n", message_id(attempt.message));
     }
-    write(stream, &answer(200, "", &lines)).await
+    write(stream, &response(200, "", &lines)).await
 }
 
-fn deliver_one(call: &Call, called: CalledMessage, endpoints: &Endpoints) {
-    let CalledMessage { message, number, is_copy } = called;
+fn execute_and_record_delivery(call: &Call, attempt: Attempt, endpoints: &Endpoints) {
+    let Attempt { message, number, is_copy } = attempt;
     if is_copy {
         return;
     }
-    endpoints.run_one(call.endpoint, called);
-    endpoints.recorder.fact(Fact::DeliveryAnswered { message, call: number });
-    call.one_ended(called, WireEnd::answered(WrittenAnswer::Delivered));
+    endpoints.execute(call.endpoint, attempt);
+    endpoints.recorder.record_fact(Fact::DeliveryAnswered { message, call: number });
+    call.record_attempt_end(attempt, WireEnd::responded(WrittenResponse::Delivered));
 }
 
-/// Runs the messages and says so, unless the relay has given the call up by then.
+/// Executes the messages after a delay and reports their delivery, unless the relay has closed the connection by then.
 async fn deliver(stream: &mut TcpStream, call: &Call, after: Duration, endpoints: &Endpoints) -> bool {
-    let given_up = async {
-        wait_for_end(stream).await;
+    let closed = async {
+        wait_for_close(stream).await;
         true
     };
     let due = async {
         Timer::after(after).await;
         false
     };
-    if given_up.or(due).await {
-        call.broken_off(WrittenAnswer::Nothing, Ender::Relay);
+    if closed.or(due).await {
+        call.record_closed(WrittenResponse::Nothing, ConnectionSide::Relay);
         return false;
     }
     let mut lines = String::new();
-    for called in call.messages.iter().copied() {
-        deliver_one(call, called, endpoints);
-        lines += &format!("{} delivered\r\n", message_id(called.message));
+    for attempt in call.attempts.iter().copied() {
+        execute_and_record_delivery(call, attempt, endpoints);
+        lines += &format!("{} delivered\r\n", message_id(attempt.message));
     }
-    write(stream, &answer(200, "", &lines)).await
+    write(stream, &response(200, "", &lines)).await
 }
 
 async fn write(stream: &mut TcpStream, text: &str) -> bool {
     stream.write_all(text.as_bytes()).await.is_ok()
 }
 
-/// Waits until the other side has closed the connection.
-async fn wait_for_end(stream: &TcpStream) {
+/// Waits until the relay has closed the connection.
+async fn wait_for_close(stream: &TcpStream) {
     while matches!(stream.peek(&mut [0]).await, Ok(read) if read > 0) {
-        Timer::after(LOOK_INTERVAL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -1,44 +1,44 @@
-//! What keeps a soak from being played. Each message is one plain line.
+//! Errors of a soak. Each message is a single line.
 
 use std::io;
 use std::path::PathBuf;
 
-/// What keeps a soak from being played.
+/// The reason why a soak can't be run.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum SoakError {
     /// A file, folder or socket of the soak can't be used.
     #[error("{what}: {source}")]
     Io {
-        /// What could not be used.
+        /// The file, folder or socket.
         what: String,
-        /// Why.
+        /// Cause of the error.
         source: io::Error,
     },
-    /// A program that the soak needs is not there.
-    #[error("{}: not there; build it or name another one", .path.display())]
+    /// A program that the soak needs does not exist.
+    #[error("{}: file not found; build the program or name another one", .path.display())]
     NoProgram {
-        /// Where it was looked for.
+        /// Path of the program.
         path: PathBuf,
     },
     /// A schedule can't be read.
     #[error("{}: {source}", .path.display())]
     Schedule {
-        /// Its file.
+        /// Path of the schedule file.
         path: PathBuf,
-        /// Why.
+        /// Cause of the error.
         source: serde_json::Error,
     },
-    /// The soak was told to end.
-    #[error("ended by a signal; its processes are ended too")]
+    /// The soak received SIGINT or SIGTERM.
+    #[error("interrupted by a signal; all started processes have been killed")]
     Interrupted,
-    /// A schedule asks for what the soak does not do.
+    /// A schedule contains something that the soak does not support.
     #[error("{0}")]
-    Unplayable(String),
+    UnsupportedSchedule(String),
 }
 
 impl SoakError {
-    /// For `map_err` where a file, folder or socket is used.
+    /// Returns a function for `map_err` that adds the name of the file, folder or socket.
     pub(crate) fn io(what: impl Into<String>) -> impl FnOnce(io::Error) -> SoakError {
         let what = what.into();
         move |source| SoakError::Io { what, source }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as the stand-ins read it.
+//! HTTP/1.1 requests and responses of the stand-ins.
 
 use smol::io::AsyncReadExt;
 use smol::net::TcpStream;
@@ -8,7 +8,7 @@
 const READ_CHUNK_BYTES: usize = 8 * 1024;
 const END_OF_LINE: &[u8] = b"\r\n";
 
-/// A request.
+/// A request, as far as the stand-ins use it.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) path: String,
@@ -17,7 +17,7 @@
 }
 
 impl Request {
-    /// The messages in a call to an endpoint; none if it is no such call.
+    /// Returns the messages of a call to an endpoint, or `None` if the request is not such a call.
     pub(crate) fn messages(&self) -> Option<Vec<RequestMessage>> {
         match (self.path.as_str(), &self.request_id) {
             ("/receive", Some(id)) => Some(vec![RequestMessage { id: id.clone(), body: self.body.clone() }]),
@@ -27,14 +27,14 @@
     }
 }
 
-/// A message in a call.
+/// A message of a call.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestMessage {
     pub(crate) id: String,
     pub(crate) body: Vec<u8>,
 }
 
-/// The messages in a body of several: each has a line with its id, key and length, then its bytes.
+/// Returns the messages of a batch body. Each message has a line with its id, key and length, followed by its bytes.
 fn batch_messages(mut body: &[u8]) -> Option<Vec<RequestMessage>> {
     let mut messages = Vec::new();
     while !body.is_empty() {
@@ -42,10 +42,10 @@
         let line = std::str::from_utf8(&body[..line_bytes]).ok()?;
         let mut words = line.split(' ');
         let (id, _key, length) = (words.next()?, words.next()?, words.next()?.parse::<usize>().ok()?);
-        let begin = line_bytes + END_OF_LINE.len();
-        let text = body.get(begin..begin + length)?.to_vec();
-        messages.push(RequestMessage { id: id.to_string(), body: text });
-        body = body.get(begin + length + END_OF_LINE.len()..)?;
+        let start = line_bytes + END_OF_LINE.len();
+        let message_body = body.get(start..start + length)?.to_vec();
+        messages.push(RequestMessage { id: id.to_string(), body: message_body });
+        body = body.get(start + length + END_OF_LINE.len()..)?;
     }
     Some(messages)
 }
@@ -57,12 +57,12 @@
 }
 
 impl RequestReader {
-    /// True if part of a request has come.
+    /// Returns whether a part of a request has been received.
     pub(crate) fn has_begun(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next request; none at the end of the connection.
+    /// Returns the next request, or `None` at the end of the connection.
     pub(crate) async fn next(&mut self, stream: &mut TcpStream) -> io::Result<Option<Request>> {
         loop {
             if let Some(request) = self.parse()? {
@@ -95,12 +95,12 @@
     }
 }
 
-/// An answer as bytes.
-pub(crate) fn answer(status: u16, headers: &str, body: &str) -> String {
+/// Returns the text of a response.
+pub(crate) fn response(status: u16, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status} Status\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Closes a connection by a reset.
+/// Makes the connection end with a reset when it is closed.
 pub(crate) fn reset(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO));
 }
--- a/crates/soak/src/injection.rs
+++ b/crates/soak/src/injection.rs
@@ -1,6 +1,6 @@
-//! Makes the faults of a schedule begin and end.
+//! Begins and ends the faults of a schedule.
 
-use crate::bad_clients::{crowd, misbehave};
+use crate::bad_clients::{exhaust_descriptors, misbehave};
 use crate::client::Clients;
 use crate::endpoint::{Behaviour, Endpoints};
 use crate::platform::Platform;
@@ -14,24 +14,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Between a reload and a stop that follows it.
+/// Time between a reload and the stop that follows it.
 const RELOAD_TO_STOP: Duration = Duration::from_millis(50);
-/// An endpoint is away for so long before it is listed again.
-const AWAY: Duration = Duration::from_millis(1_500);
-/// A write to a socket is held up for so long, ...
-const HOLD: Duration = Duration::from_millis(150);
-/// ... in so many of 1,000 writes.
-const HOLD_RATE: u64 = 50;
-/// So many of 1,000 reads of a clock are held up.
-const CLOCK_HOLD_RATE: u64 = 2;
-/// Signals that a relay gets one behind the other.
+/// Time after which a removed endpoint is listed again.
+const REMOVED_FOR: Duration = Duration::from_millis(1_500);
+/// Delay of a write to a socket, or of the reading thread after a read of a clock.
+const INJECTED_DELAY: Duration = Duration::from_millis(150);
+/// Number of delayed writes to sockets per 1,000.
+const SOCKET_WRITE_DELAY_RATE: u64 = 50;
+/// Number of delayed reads of a clock per 1,000.
+const CLOCK_READ_DELAY_RATE: u64 = 2;
+/// Number of signals in a series.
 const SIGNALS_IN_SERIES: usize = 4;
-/// Of 1,000 calls that fail at all.
+/// Number of calls per 1,000 that fail for a shortage of resources.
 const SHORTAGE_RATE: u64 = 500;
+/// Number of calls per 1,000 that are interrupted or fail for a passing cause.
 const INTERRUPTION_RATE: u64 = 200;
 
-/// What faults strike.
-pub(crate) struct Targets {
+/// Parts of the run that faults affect.
+pub(crate) struct FaultTargets {
     pub(crate) relays: Vec<Arc<RelayProcess>>,
     pub(crate) endpoints: Arc<Endpoints>,
     pub(crate) platform: Arc<Platform>,
@@ -40,17 +41,19 @@
     pub(crate) seed: u64,
 }
 
-/// Plays all faults of a schedule, each at its time; over once all of them are.
-pub(crate) async fn inject(schedule: &Schedule, targets: Arc<Targets>) {
+/// Injects all faults of a schedule, each at its time, and waits until all of them are over.
+pub(crate) async fn inject(schedule: &Schedule, targets: Arc<FaultTargets>) {
     let start = Instant::now();
     let mut tasks = Vec::new();
     for fault in schedule.faults.clone() {
         let targets = targets.clone();
         tasks.push(smol::spawn(async move {
             Timer::at(start + Duration::from_millis(fault.at_ms)).await;
-            targets.recorder.fault(format!("{} begins: {:?}, {}", fault.kind, fault.targets, fault.amount));
-            targets.play(&fault).await;
-            targets.recorder.fault(format!("{} ends: {:?}", fault.kind, fault.targets));
+            targets
+                .recorder
+                .record_fault(format!("{} begins: {:?}, {}", fault.kind, fault.targets, fault.amount));
+            targets.run_fault(&fault).await;
+            targets.recorder.record_fault(format!("{} ends: {:?}", fault.kind, fault.targets));
         }));
     }
     for task in tasks {
@@ -58,8 +61,8 @@
     }
 }
 
-impl Targets {
-    async fn play(&self, fault: &ScheduledFault) {
+impl FaultTargets {
+    async fn run_fault(&self, fault: &ScheduledFault) {
         let span = Duration::from_millis(fault.for_ms);
         match fault.kind {
             FaultKind::Kill
@@ -67,46 +70,46 @@
             | FaultKind::Upgrade
             | FaultKind::Reload
             | FaultKind::Signals
-            | FaultKind::ReloadAndStop => self.end_processes(fault).await,
+            | FaultKind::ReloadAndStop => self.signal_processes(fault).await,
             FaultKind::Clock => {
                 for relay in self.targeted_relays(fault) {
                     let _ = relay.faults.set_wall_clock_offset_ms(fault.amount);
                 }
             }
             FaultKind::Disk | FaultKind::DiskAtStart | FaultKind::TornKill => {
-                self.break_disk(fault, span).await;
+                self.inject_disk_faults(fault, span).await;
             }
-            FaultKind::Sockets => self.break_sockets(fault, span).await,
-            FaultKind::Hold => self.hold(fault, span).await,
+            FaultKind::Sockets => self.inject_socket_faults(fault, span).await,
+            FaultKind::Hold => self.delay_socket_writes(fault, span).await,
             FaultKind::Drain => self.drain(fault, span).await,
             FaultKind::Discovery => {
                 self.set_discovery_silent(fault, true);
                 Timer::after(span).await;
                 self.set_discovery_silent(fault, false);
             }
-            FaultKind::BadClients => self.misbehave(fault, span).await,
+            FaultKind::BadClients => self.run_bad_clients(fault, span).await,
             FaultKind::CopiedIds => {
-                fault.targets.iter().for_each(|relay| self.clients.set_copied(*relay, true));
+                fault.targets.iter().for_each(|relay| self.clients.set_ids_copied(*relay, true));
                 Timer::after(span).await;
-                fault.targets.iter().for_each(|relay| self.clients.set_copied(*relay, false));
+                fault.targets.iter().for_each(|relay| self.clients.set_ids_copied(*relay, false));
             }
-            FaultKind::Crowd => self.gather_crowds(fault, span).await,
-            FaultKind::UpgradeDisk => self.upgrade_on_bad_folder(fault, span).await,
-            FaultKind::ClockHold => self.hold_clocks(fault, span).await,
+            FaultKind::Crowd => self.exhaust_descriptors(fault, span).await,
+            FaultKind::UpgradeDisk => self.upgrade_with_disk_faults(fault, span).await,
+            FaultKind::ClockHold => self.delay_clock_reads(fault, span).await,
             _ => self.change_endpoints(fault, span).await,
         }
     }
 
-    /// Signals, and what starts in the place of what they end.
-    async fn end_processes(&self, fault: &ScheduledFault) {
-        // A part of the stops is cut short by SIGKILL.
+    /// Sends the fault's signals to processes and starts the processes that replace them.
+    async fn signal_processes(&self, fault: &ScheduledFault) {
+        // A third of the stops is cut short by SIGKILL.
         let kill_after = (fault.amount % 3 == 0).then(|| Duration::from_millis(fault.amount as u64));
         let upgrade = upgrade_end(fault);
         let kind = fault.kind;
         let series = signal_series(fault.amount as u64);
         self.on_each_relay(fault, move |relay| async move {
             match kind {
-                FaultKind::Signals => relay.signal_series(series).await,
+                FaultKind::Signals => relay.signal_and_restart(series).await,
                 FaultKind::Kill => relay.kill_and_restart().await,
                 FaultKind::Stop => relay.stop_and_restart(kill_after).await,
                 FaultKind::Upgrade => relay.upgrade(upgrade).await,
@@ -121,9 +124,9 @@
         .await;
     }
 
-    async fn hold(&self, fault: &ScheduledFault, span: Duration) {
+    async fn delay_socket_writes(&self, fault: &ScheduledFault, span: Duration) {
         for relay in self.targeted_relays(fault) {
-            let _ = relay.faults.set_socket_write_delay(HOLD, HOLD_RATE);
+            let _ = relay.faults.set_socket_write_delay(INJECTED_DELAY, SOCKET_WRITE_DELAY_RATE);
         }
         Timer::after(span).await;
         for relay in self.targeted_relays(fault) {
@@ -131,34 +134,34 @@
         }
     }
 
-    async fn gather_crowds(&self, fault: &ScheduledFault, span: Duration) {
+    async fn exhaust_descriptors(&self, fault: &ScheduledFault, span: Duration) {
         let until = Instant::now() + span;
-        let gather_at = |relay| smol::spawn(crowd(self.clients.clone(), relay, until));
-        let tasks: Vec<_> = fault.targets.iter().map(|relay| gather_at(*relay)).collect();
+        let exhaust_at = |relay| smol::spawn(exhaust_descriptors(self.clients.clone(), relay, until));
+        let tasks: Vec<_> = fault.targets.iter().map(|relay| exhaust_at(*relay)).collect();
         for task in tasks {
             task.await;
         }
     }
 
-    async fn upgrade_on_bad_folder(&self, fault: &ScheduledFault, span: Duration) {
+    async fn upgrade_with_disk_faults(&self, fault: &ScheduledFault, span: Duration) {
         let relays = self.targeted_relays(fault);
         for relay in &relays {
-            for (call, how) in disk_faults(fault) {
-                let _ = relay.faults.set_system_call_fault(call, how);
+            for (call, call_fault) in disk_faults(fault) {
+                let _ = relay.faults.set_system_call_fault(call, call_fault);
             }
         }
         let end = upgrade_end(fault);
         let upgrades = self.on_each_relay(fault, move |relay| async move { relay.upgrade(end).await });
-        let mended = async {
+        let clear = async {
             Timer::after(span).await;
-            mend_disk(&relays, fault);
+            clear_disk_faults(&relays, fault);
         };
-        smol::future::zip(upgrades, mended).await;
+        smol::future::zip(upgrades, clear).await;
     }
 
-    async fn hold_clocks(&self, fault: &ScheduledFault, span: Duration) {
+    async fn delay_clock_reads(&self, fault: &ScheduledFault, span: Duration) {
         for relay in self.targeted_relays(fault) {
-            let _ = relay.faults.set_clock_read_delay(HOLD, CLOCK_HOLD_RATE);
+            let _ = relay.faults.set_clock_read_delay(INJECTED_DELAY, CLOCK_READ_DELAY_RATE);
         }
         Timer::after(span).await;
         for relay in self.targeted_relays(fault) {
@@ -166,7 +169,7 @@
         }
     }
 
-    async fn misbehave(&self, fault: &ScheduledFault, span: Duration) {
+    async fn run_bad_clients(&self, fault: &ScheduledFault, span: Duration) {
         let until = Instant::now() + span;
         let misbehave_at = |relay| smol::spawn(misbehave(self.clients.clone(), relay, until, self.seed));
         let tasks: Vec<_> = fault.targets.iter().map(|relay| misbehave_at(*relay)).collect();
@@ -190,64 +193,67 @@
         }
     }
 
-    async fn break_disk(&self, fault: &ScheduledFault, span: Duration) {
+    async fn inject_disk_faults(&self, fault: &ScheduledFault, span: Duration) {
         let relays = self.targeted_relays(fault);
         for relay in &relays {
             if fault.kind == FaultKind::TornKill {
-                relay.begin_self_kills();
+                relay.begin_self_kill_fault();
             }
-            for (call, how) in disk_faults(fault) {
-                let _ = relay.faults.set_system_call_fault(call, how);
+            for (call, call_fault) in disk_faults(fault) {
+                let _ = relay.faults.set_system_call_fault(call, call_fault);
             }
         }
         if fault.kind == FaultKind::DiskAtStart {
             let restarts = self.on_each_relay(fault, |relay| async move { relay.kill_and_restart().await });
-            let mended = async {
-                Timer::after(RESTART_PART + span).await;
-                mend_disk(&relays, fault);
+            let clear = async {
+                Timer::after(RESTART_DELAY + span).await;
+                clear_disk_faults(&relays, fault);
             };
-            smol::future::zip(restarts, mended).await;
+            smol::future::zip(restarts, clear).await;
         } else {
             Timer::after(span).await;
-            mend_disk(&relays, fault);
+            clear_disk_faults(&relays, fault);
         }
         if fault.kind == FaultKind::TornKill {
-            // The watcher starts again what killed itself.
-            Timer::after(RESTART_PART * 2).await;
+            // Processes that killed themselves are restarted meanwhile.
+            Timer::after(RESTART_DELAY * 2).await;
             for relay in &relays {
-                relay.end_self_kills();
+                relay.end_self_kill_fault();
             }
         }
     }
 
-    async fn break_sockets(&self, fault: &ScheduledFault, span: Duration) {
+    async fn inject_socket_faults(&self, fault: &ScheduledFault, span: Duration) {
         let shortages = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
         let shortage = shortages[fault.amount as usize % shortages.len()];
-        let locals = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS, libc::EAGAIN];
-        let local = locals[fault.amount as usize / 4 % locals.len()];
-        let fails = |errno, fail_rate| SystemCallFault { errno, fail_rate, ..SystemCallFault::default() };
-        let watch = libc::ENOMEM;
-        let passing = [libc::EINTR, libc::ENOBUFS, libc::ENOMEM];
-        let passing = passing[fault.amount as usize % passing.len()];
-        let sends =
-            SystemCallFault { partial_write_rate: INTERRUPTION_RATE, ..fails(passing, INTERRUPTION_RATE) };
-        let how = [
-            (SystemCall::Accept, fails(shortage, SHORTAGE_RATE)),
-            (SystemCall::Socket, fails(shortage, SHORTAGE_RATE)),
-            (SystemCall::Connect, fails(local, SHORTAGE_RATE)),
-            (SystemCall::Receive, fails(passing, INTERRUPTION_RATE)),
-            (SystemCall::Wait, fails(libc::EINTR, INTERRUPTION_RATE)),
-            (SystemCall::WaitControl, fails(watch, INTERRUPTION_RATE)),
-            (SystemCall::Send, sends),
+        let connect_errors = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS, libc::EAGAIN];
+        let connect_error = connect_errors[fault.amount as usize / 4 % connect_errors.len()];
+        let fails_with =
+            |errno, fail_rate| SystemCallFault { errno, fail_rate, ..SystemCallFault::default() };
+        let wait_control_error = libc::ENOMEM;
+        let passing_errors = [libc::EINTR, libc::ENOBUFS, libc::ENOMEM];
+        let passing_error = passing_errors[fault.amount as usize % passing_errors.len()];
+        let send_fault = SystemCallFault {
+            partial_write_rate: INTERRUPTION_RATE,
+            ..fails_with(passing_error, INTERRUPTION_RATE)
+        };
+        let call_faults = [
+            (SystemCall::Accept, fails_with(shortage, SHORTAGE_RATE)),
+            (SystemCall::Socket, fails_with(shortage, SHORTAGE_RATE)),
+            (SystemCall::Connect, fails_with(connect_error, SHORTAGE_RATE)),
+            (SystemCall::Receive, fails_with(passing_error, INTERRUPTION_RATE)),
+            (SystemCall::Wait, fails_with(libc::EINTR, INTERRUPTION_RATE)),
+            (SystemCall::WaitControl, fails_with(wait_control_error, INTERRUPTION_RATE)),
+            (SystemCall::Send, send_fault),
         ];
         for relay in self.targeted_relays(fault) {
-            for (call, how) in how {
-                let _ = relay.faults.set_system_call_fault(call, how);
+            for (call, call_fault) in call_faults {
+                let _ = relay.faults.set_system_call_fault(call, call_fault);
             }
         }
         Timer::after(span).await;
         for relay in self.targeted_relays(fault) {
-            for (call, _) in how {
+            for (call, _) in call_faults {
                 let _ = relay.faults.set_system_call_fault(call, SystemCallFault::default());
             }
         }
@@ -256,21 +262,21 @@
     async fn drain(&self, fault: &ScheduledFault, span: Duration) {
         for endpoint in &fault.targets {
             self.record_endpoint_fault(*endpoint, false);
-            self.platform.set_phase(*endpoint, ListedStatus::Draining);
+            self.platform.set_status(*endpoint, ListedStatus::Draining);
         }
         Timer::after(span).await;
         for endpoint in &fault.targets {
-            self.platform.set_phase(*endpoint, ListedStatus::Removed);
+            self.platform.set_status(*endpoint, ListedStatus::Removed);
         }
-        Timer::after(AWAY).await;
+        Timer::after(REMOVED_FOR).await;
         for endpoint in &fault.targets {
-            self.platform.set_phase(*endpoint, ListedStatus::Ready);
+            self.platform.set_status(*endpoint, ListedStatus::Ready);
             self.record_endpoint_fault(*endpoint, true);
         }
     }
 
     fn record_endpoint_fault(&self, endpoint: usize, is_over: bool) {
-        self.recorder.note(Observation::EndpointFault { endpoint, is_over });
+        self.recorder.record(Observation::EndpointFault { endpoint, is_over });
     }
 
     fn set_discovery_silent(&self, fault: &ScheduledFault, is_silent: bool) {
@@ -304,20 +310,20 @@
     }
 }
 
-/// Up to here a killed relay is not started again yet.
-const RESTART_PART: Duration = Duration::from_millis(600);
+/// Time after which a killed relay is started again.
+const RESTART_DELAY: Duration = Duration::from_millis(600);
 
-/// A part of the upgrades begins with a SIGKILL, and a part is given up.
+/// Returns the end of an upgrade: in a quarter of them the active process is killed, and a quarter is aborted.
 fn upgrade_end(fault: &ScheduledFault) -> UpgradeEnd {
     match fault.amount % 8 {
-        0 | 4 => UpgradeEnd::FirstKilled,
-        1 => UpgradeEnd::SecondKilled,
-        5 => UpgradeEnd::SecondStopped,
+        0 | 4 => UpgradeEnd::ActiveKilled,
+        1 => UpgradeEnd::SuccessorKilled,
+        5 => UpgradeEnd::SuccessorStopped,
         _ => UpgradeEnd::TakenOver,
     }
 }
 
-/// Signals of a series, drawn by the bits of a number; one of them at least is SIGTERM.
+/// Returns a series of signals selected by the bits of a number; at least one of them is SIGTERM.
 fn signal_series(bits: u64) -> [Signal; SIGNALS_IN_SERIES] {
     let mut series = [Signal::TERM; SIGNALS_IN_SERIES];
     for (position, signal) in series.iter_mut().enumerate().take(SIGNALS_IN_SERIES - 1) {
@@ -329,56 +335,59 @@
     series
 }
 
-/// How the state folder fails.
+/// Returns the faults of system calls on the state folder.
 fn disk_faults(fault: &ScheduledFault) -> Vec<(SystemCall, SystemCallFault)> {
     let errno = if fault.amount % 2 == 0 { libc::ENOSPC } else { libc::EIO };
-    let half_cut = SystemCallFault {
+    let partial_or_failed = SystemCallFault {
         errno,
         fail_rate: FULL_RATE,
         partial_write_rate: FULL_RATE / 2,
         partial_write_kill_rate: 0,
     };
-    let fails = SystemCallFault::always(errno);
-    let at_times = SystemCallFault { errno, fail_rate: SHORTAGE_RATE, ..SystemCallFault::default() };
+    let always_fails = SystemCallFault::always(errno);
+    let intermittent = SystemCallFault { errno, fail_rate: SHORTAGE_RATE, ..SystemCallFault::default() };
     match fault.kind {
         FaultKind::TornKill => {
-            let torn = SystemCallFault {
+            let partial_and_kill = SystemCallFault {
                 errno,
                 fail_rate: 0,
                 partial_write_rate: 0,
                 partial_write_kill_rate: FULL_RATE / 5,
             };
-            vec![(SystemCall::FileWrite, torn)]
+            vec![(SystemCall::FileWrite, partial_and_kill)]
         }
         FaultKind::UpgradeDisk => vec![
-            (SystemCall::FileOpen, at_times),
-            (SystemCall::FileLock, at_times),
-            (SystemCall::FileRead, at_times),
-            (SystemCall::FileRename, at_times),
-            (SystemCall::FileUnlink, fails),
+            (SystemCall::FileOpen, intermittent),
+            (SystemCall::FileLock, intermittent),
+            (SystemCall::FileRead, intermittent),
+            (SystemCall::FileRename, intermittent),
+            (SystemCall::FileUnlink, always_fails),
         ],
         FaultKind::DiskAtStart => vec![
-            (SystemCall::FileWrite, half_cut),
-            (SystemCall::FileOpen, if fault.is_long_at_start() { fails } else { at_times }),
-            (SystemCall::FileLock, at_times),
-            (SystemCall::FileRead, at_times),
-            (SystemCall::FileRename, fails),
-            (SystemCall::FileTruncate, fails),
-            (SystemCall::FileUnlink, at_times),
-            (SystemCall::Bind, SystemCallFault { errno: libc::EADDRINUSE, ..at_times }),
+            (SystemCall::FileWrite, partial_or_failed),
+            (SystemCall::FileOpen, if fault.is_long_disk_at_start() { always_fails } else { intermittent }),
+            (SystemCall::FileLock, intermittent),
+            (SystemCall::FileRead, intermittent),
+            (SystemCall::FileRename, always_fails),
+            (SystemCall::FileTruncate, always_fails),
+            (SystemCall::FileUnlink, intermittent),
+            (SystemCall::Bind, SystemCallFault { errno: libc::EADDRINUSE, ..intermittent }),
         ],
         _ => vec![
-            (SystemCall::FileWrite, half_cut),
+            (SystemCall::FileWrite, partial_or_failed),
             (
                 SystemCall::FileTruncate,
-                if fault.amount % 3 == 0 { fails } else { SystemCallFault::default() },
+                if fault.amount % 3 == 0 { always_fails } else { SystemCallFault::default() },
+            ),
+            (
+                SystemCall::FileRename,
+                if fault.amount % 5 == 0 { always_fails } else { SystemCallFault::default() },
             ),
-            (SystemCall::FileRename, if fault.amount % 5 == 0 { fails } else { SystemCallFault::default() }),
         ],
     }
 }
 
-fn mend_disk(relays: &[Arc<RelayProcess>], fault: &ScheduledFault) {
+fn clear_disk_faults(relays: &[Arc<RelayProcess>], fault: &ScheduledFault) {
     for relay in relays {
         for (call, _) in disk_faults(fault) {
             let _ = relay.faults.set_system_call_fault(call, SystemCallFault::default());
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,11 +1,14 @@
-//! The fault soak: real processes of `mountshift-relay` on loopback, stand-ins for all that they meet, faults that
-//! overlap in time, and a checker of the rules that sees only what the stand-ins saw.
+//! The fault soak: runs real processes of `mountshift-relay` on loopback addresses against stand-ins for their
+//! environment, injects faults that overlap in time, and checks the rules on the observations of the stand-ins.
 //!
-//! - [`Schedule`] says what happens when; it is drawn from a seed alone and can be written, cut down and played again.
+//! - [`Schedule`] contains the faults and their times. It is drawn from a seed alone and can be saved, reduced and run
+//!   again.
 //! - `installation` draws the settings, destinations and limits of a run; `relay_process` runs the relays.
-//! - `endpoint`, `platform`, `client`, `bad_clients` and `copies` are the stand-ins; they record what they see on the wire in the `recorder`.
-//! - `wire_end` derives outcomes of calls from that by the protocol's table, `malformed_response` plays answers that are no answers.
-//! - `injection` makes the faults of a schedule begin and end; `oracle` reads the record and tells breaches.
+//! - `endpoint`, `platform`, `client`, `bad_clients` and `copies` are the stand-ins. They record their observations on
+//!   the wire in the `recorder`.
+//! - `wire_end` derives the outcomes of calls from them by the protocol; `malformed_response` sends malformed
+//!   responses.
+//! - `injection` begins and ends the faults of a schedule; `oracle` and `early_end` find breaches in the record.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/soak/src/malformed_response.rs
+++ b/crates/soak/src/malformed_response.rs
@@ -1,6 +1,6 @@
-//! Answers that are spoilt on purpose: cut, dripped, too large, chunked wrongly, no HTTP at all.
+//! Malformed responses: truncated, sent byte by byte, too large, with invalid chunks, or not HTTP.
 
-use crate::wire_end::{Ender, WireEnd, WrittenAnswer};
+use crate::wire_end::{ConnectionSide, WireEnd, WrittenResponse};
 use smol::Timer;
 use smol::future::FutureExt;
 use smol::io::AsyncWriteExt;
@@ -8,87 +8,88 @@
 use std::net::Shutdown;
 use std::time::Duration;
 
-/// Between two bytes of an answer that drips.
-const DRIP_PAUSE: Duration = Duration::from_millis(100);
-/// More than any relay reads.
+/// Pause between two bytes of a response that is sent byte by byte.
+const BYTE_PAUSE: Duration = Duration::from_millis(100);
+/// Size of a response larger than any relay reads.
 const TOO_LARGE_BYTES: usize = 400_000;
-/// The answers that are cut: an error with a body, ...
+/// Response with an error and a body.
 const ERROR: &[u8] = b"HTTP/1.1 500 Status\r\nContent-Length: 9\r\n\r\nsome text";
-/// ... and a delivery, of which the first line is all that counts.
+/// Response that reports a delivery, already by its status code.
 const DELIVERY: &[u8] = b"HTTP/1.1 200 Status\r\nContent-Length: 9\r\n\r\nsome text";
-/// The first line of a delivery up to its status, and the space behind it.
+/// Length of a response up to the space after the status code.
 const DELIVERY_STATUS_BYTES: usize = 13;
-/// One answer in so many is a delivery that is cut.
-const DELIVERIES_IN: u64 = 3;
+/// One malformed response in this number is a truncated delivery.
+const DELIVERY_IN: u64 = 3;
 
-/// What is wrong with an answer.
+/// Defect of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseDefect {
-    /// So many of its bytes, then the end of the connection.
-    CutAndClosed(usize),
-    /// So many, then a reset.
-    CutAndReset(usize),
-    /// So many, then the end of the sending.
-    CutAndHalfClosed(usize),
-    /// So many, then silence.
-    CutAndSilent(usize),
-    /// A byte each 100 ms.
-    Dripped,
-    /// Bytes that are no HTTP, then silence.
-    Junk,
-    /// A chunk of no size, then silence.
-    BadChunk,
+    /// Only this number of bytes, then the connection is closed.
+    TruncatedAndClosed(usize),
+    /// Only this number of bytes, then a reset.
+    TruncatedAndReset(usize),
+    /// Only this number of bytes, then the sending side is shut.
+    TruncatedAndHalfClosed(usize),
+    /// Only this number of bytes; the connection stays open.
+    TruncatedAndSilent(usize),
+    /// One byte every 100 ms.
+    ByteByByte,
+    /// Bytes that are not HTTP; the connection stays open.
+    NotHttp,
+    /// A chunk with an invalid size; the connection stays open.
+    InvalidChunk,
     TooLarge,
 }
 
-/// A spoilt answer to a call.
+/// A malformed response to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MalformedResponse {
     text: &'static [u8],
-    how: ResponseDefect,
+    defect: ResponseDefect,
 }
 
 impl MalformedResponse {
-    /// All kinds in turn by the number of a call, each cut at each byte of the answer sooner or later.
+    /// Returns the response to the call of this number. The defects take turns, and over all calls a response is
+    /// truncated at each of its bytes.
     pub(crate) fn of_call(number: u64, messages: usize) -> MalformedResponse {
-        let kind = number / DELIVERIES_IN;
-        // Never whole, never nothing.
-        let cut_at = 1 + (kind / 8) as usize % (ERROR.len() - 1);
-        let how = match kind % 8 {
-            0 => ResponseDefect::CutAndClosed(cut_at),
-            1 => ResponseDefect::CutAndReset(cut_at),
-            2 => ResponseDefect::CutAndHalfClosed(cut_at),
-            3 => ResponseDefect::CutAndSilent(cut_at),
-            4 => ResponseDefect::Dripped,
-            5 => ResponseDefect::Junk,
-            6 => ResponseDefect::BadChunk,
+        let kind = number / DELIVERY_IN;
+        // At least one byte, but never the whole response.
+        let length = 1 + (kind / 8) as usize % (ERROR.len() - 1);
+        let defect = match kind % 8 {
+            0 => ResponseDefect::TruncatedAndClosed(length),
+            1 => ResponseDefect::TruncatedAndReset(length),
+            2 => ResponseDefect::TruncatedAndHalfClosed(length),
+            3 => ResponseDefect::TruncatedAndSilent(length),
+            4 => ResponseDefect::ByteByByte,
+            5 => ResponseDefect::NotHttp,
+            6 => ResponseDefect::InvalidChunk,
             _ => ResponseDefect::TooLarge,
         };
-        let is_delivery = messages == 1 && number.is_multiple_of(DELIVERIES_IN);
-        MalformedResponse { text: if is_delivery { DELIVERY } else { ERROR }, how }
+        let is_delivery = messages == 1 && number.is_multiple_of(DELIVERY_IN);
+        MalformedResponse { text: if is_delivery { DELIVERY } else { ERROR }, defect }
     }
 
-    /// True if its first line, which says that the message is delivered, comes whole.
-    pub(crate) fn delivers(self) -> bool {
-        let cut_at = match self.how {
-            ResponseDefect::CutAndClosed(bytes)
-            | ResponseDefect::CutAndReset(bytes)
-            | ResponseDefect::CutAndHalfClosed(bytes)
-            | ResponseDefect::CutAndSilent(bytes) => bytes,
+    /// Returns whether the response contains the complete status code of a delivery.
+    pub(crate) fn reports_delivery(self) -> bool {
+        let length = match self.defect {
+            ResponseDefect::TruncatedAndClosed(bytes)
+            | ResponseDefect::TruncatedAndReset(bytes)
+            | ResponseDefect::TruncatedAndHalfClosed(bytes)
+            | ResponseDefect::TruncatedAndSilent(bytes) => bytes,
             _ => 0,
         };
-        self.text == DELIVERY && cut_at >= DELIVERY_STATUS_BYTES
+        self.text == DELIVERY && length >= DELIVERY_STATUS_BYTES
     }
 
     fn bytes(self) -> Vec<u8> {
-        match self.how {
-            ResponseDefect::CutAndClosed(bytes)
-            | ResponseDefect::CutAndReset(bytes)
-            | ResponseDefect::CutAndHalfClosed(bytes)
-            | ResponseDefect::CutAndSilent(bytes) => self.text[..bytes].to_vec(),
-            ResponseDefect::Dripped => ERROR.to_vec(),
-            ResponseDefect::Junk => b"what is this\r\n\r\n".to_vec(),
-            ResponseDefect::BadChunk => {
+        match self.defect {
+            ResponseDefect::TruncatedAndClosed(bytes)
+            | ResponseDefect::TruncatedAndReset(bytes)
+            | ResponseDefect::TruncatedAndHalfClosed(bytes)
+            | ResponseDefect::TruncatedAndSilent(bytes) => self.text[..bytes].to_vec(),
+            ResponseDefect::ByteByByte => ERROR.to_vec(),
+            ResponseDefect::NotHttp => b"what is this\r\n\r\n".to_vec(),
+            ResponseDefect::InvalidChunk => {
                 b"HTTP/1.1 500 Status\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nsome text".to_vec()
             }
             ResponseDefect::TooLarge => {
@@ -99,47 +100,49 @@
     }
 }
 
-/// Answers a call with a spoilt answer, and waits until the call is over: `given_up` is over once the relay has ended the connection.
+/// Sends a malformed response and waits until the call is over. `relay_closed` completes once the relay has closed the
+/// connection.
 pub(crate) async fn send_malformed_response(
     stream: &mut TcpStream,
-    spoilt: MalformedResponse,
-    given_up: impl Future<Output = ()>,
+    malformed: MalformedResponse,
+    relay_closed: impl Future<Output = ()>,
 ) -> WireEnd {
     let write = async {
-        if spoilt.how == ResponseDefect::Dripped {
-            return drip(stream, &spoilt.bytes()).await;
+        if malformed.defect == ResponseDefect::ByteByByte {
+            return send_byte_by_byte(stream, &malformed.bytes()).await;
         }
-        let _ = stream.write_all(&spoilt.bytes()).await;
-        match spoilt.how {
-            ResponseDefect::CutAndClosed(_) => Some(Ender::Endpoint),
-            ResponseDefect::CutAndReset(_) => {
+        let _ = stream.write_all(&malformed.bytes()).await;
+        match malformed.defect {
+            ResponseDefect::TruncatedAndClosed(_) => Some(ConnectionSide::Endpoint),
+            ResponseDefect::TruncatedAndReset(_) => {
                 crate::http::reset(stream);
-                Some(Ender::Endpoint)
+                Some(ConnectionSide::Endpoint)
             }
-            ResponseDefect::CutAndHalfClosed(_) => {
+            ResponseDefect::TruncatedAndHalfClosed(_) => {
                 let _ = stream.shutdown(Shutdown::Write);
                 std::future::pending().await
             }
             _ => std::future::pending().await,
         }
     };
-    let ended_by = write
+    let closed_by = write
         .or(async {
-            given_up.await;
-            Some(Ender::Relay)
+            relay_closed.await;
+            Some(ConnectionSide::Relay)
         })
         .await;
-    let answer = if spoilt.delivers() { WrittenAnswer::Delivery } else { WrittenAnswer::Part };
-    WireEnd { answer, ended_by }
+    let response =
+        if malformed.reports_delivery() { WrittenResponse::Delivery } else { WrittenResponse::Part };
+    WireEnd { response, closed_by }
 }
 
-/// Writes a byte at a time; the relay gives up long before the last one.
-async fn drip(stream: &mut TcpStream, bytes: &[u8]) -> Option<Ender> {
+/// Writes one byte at a time. The relay cancels the call long before the last byte.
+async fn send_byte_by_byte(stream: &mut TcpStream, bytes: &[u8]) -> Option<ConnectionSide> {
     for byte in bytes {
         if stream.write_all(&[*byte]).await.is_err() {
-            return Some(Ender::Relay);
+            return Some(ConnectionSide::Relay);
         }
-        Timer::after(DRIP_PAUSE).await;
+        Timer::after(BYTE_PAUSE).await;
     }
-    Some(Ender::Endpoint)
+    Some(ConnectionSide::Endpoint)
 }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,36 +1,38 @@
-//! The oracle: what broke, told by what the stand-ins saw. The six rules are checked by `mountshift-invariants`.
+//! The oracle: finds breaches in the observations of the stand-ins. The six rules are checked by
+//! `mountshift-invariants`.
 
 use crate::early_end::early_ends;
 use crate::installation::Installation;
-use crate::recorder::{Observation, message_id, relay_of};
+use crate::recorder::{Observation, message_id, relay_of_message};
 use crate::wire_end::WireEnd;
 use mountshift_invariants::{AttemptOutcome, Fact, InvariantChecker, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt's end is seen so long after the relay knew of it at most, in microseconds: the connection's end has to
-/// reach the endpoint's task first.
-const END_SEEN_WITHIN: Time = 300_000;
+/// Maximum time, in microseconds, by which an attempt's end is observed later than the relay ended it. The end of the
+/// connection has to reach the endpoint's task first.
+const MAX_END_OBSERVATION_DELAY: Time = 300_000;
 
-/// That the stand-ins were held up is noted so near to what they saw late, in microseconds.
-const HELD_UP_NOTED_WITHIN: Time = 20_000;
-/// The end of a process is seen so long after its clients see it at most, in microseconds.
-const PROCESS_END_SEEN_WITHIN: Time = 200_000;
-/// What a process had written is read so long after its end at most, in microseconds; it starts again much later.
-const BYTES_READ_WITHIN: Time = 100_000;
+/// Maximum distance, in microseconds, between the record of a stand-in delay and the observations that it delayed.
+const DELAY_RECORD_DISTANCE: Time = 20_000;
+/// Maximum time, in microseconds, between the end of a process as its clients observe it and the record of that end.
+const PROCESS_END_RECORD_DISTANCE: Time = 200_000;
+/// Maximum time, in microseconds, until endpoints have read what a process wrote before its end. The process starts
+/// again much later.
+const MAX_READ_DELAY_AFTER_EXIT: Time = 100_000;
 
-/// Something that must not happen and did.
+/// A violation of a rule, or another event that must not happen.
 #[derive(Clone, Debug)]
 pub struct SoakBreach {
-    /// A line that tells what.
+    /// Description in one line.
     pub description: String,
-    /// The message that it is about, by its id, if it is about one.
+    /// Id of the affected message, if the breach is about a message.
     pub message: Option<String>,
-    /// The relay, if it is about one.
+    /// Number of the affected relay, if the breach is about a relay.
     pub relay: Option<usize>,
 }
 
-/// All breaches that the observations show, at a time by which every message is due.
-pub(crate) fn judge(
+/// Returns all breaches in the observations. Every deadline must have passed by `end`.
+pub(crate) fn find_breaches(
     installation: &Installation,
     observations: &[(Time, Observation)],
     end: Time,
@@ -38,30 +40,30 @@
     let mut breaches = Vec::new();
     for (at, observation) in observations {
         match observation {
-            Observation::Unanswered { relay, .. } if ends_near(observations, *relay, *at) => {}
+            Observation::Unanswered { relay, .. } if process_ended_near(observations, *relay, *at) => {}
             Observation::Unanswered { relay, id } => breaches.push(SoakBreach {
                 description: format!(
-                    "{:.3} s: request of {id} at relay {relay} got no answer",
+                    "{:.3} s: submission of {id} to relay {relay} got no answer",
                     *at as f64 / 1e6
                 ),
                 message: Some(id.clone()),
                 relay: Some(*relay),
             }),
-            Observation::Process { relay, what } => breaches.push(SoakBreach {
-                description: format!("{:.3} s: relay {relay} {what}", *at as f64 / 1e6),
+            Observation::ProcessEvent { relay, description } => breaches.push(SoakBreach {
+                description: format!("{:.3} s: relay {relay} {description}", *at as f64 / 1e6),
                 message: None,
                 relay: Some(*relay),
             }),
             Observation::Fact(_)
             | Observation::AttemptEnded { .. }
-            | Observation::HeldUp { .. }
-            | Observation::Copied { .. }
+            | Observation::StandInsDelayed { .. }
+            | Observation::IdenticalCopySubmitted { .. }
             | Observation::Fault(_)
-            | Observation::Refused { .. }
+            | Observation::NotAccepted { .. }
             | Observation::EndpointFault { .. } => {}
         }
     }
-    breaches.extend(refused_and_sent(observations));
+    breaches.extend(sent_though_not_accepted(observations));
     breaches.extend(early_ends(installation, observations));
     let mut checker = InvariantChecker::new(installation.rule_parameters());
     for (at, fact) in facts(observations) {
@@ -72,36 +74,38 @@
         breaches.push(SoakBreach {
             description: format!("{:.3} s: rule {}: {}", breach.at as f64 / 1e6, breach.rule, breach.reason),
             message: message.map(message_id),
-            relay: message.map(relay_of),
+            relay: message.map(relay_of_message),
         });
     }
     breaches
 }
 
-/// True if the relay's process ended about then by itself: that is noticed a moment later than by its clients.
-fn ends_near(observations: &[(Time, Observation)], relay: usize, at: Time) -> bool {
+/// Returns whether the relay's process ended at about this time. The end is recorded a moment later than clients
+/// observe it.
+fn process_ended_near(observations: &[(Time, Observation)], relay: usize, at: Time) -> bool {
     observations.iter().any(|(ended_at, observation)| {
         let is_end = matches!(observation,
             Observation::Fact(Fact::RelayDown { relay: ended }) if *ended as usize == relay);
-        is_end && ended_at.abs_diff(at) <= PROCESS_END_SEEN_WITHIN
+        is_end && ended_at.abs_diff(at) <= PROCESS_END_RECORD_DISTANCE
     })
 }
 
-/// Messages that were sent after their client had heard that they were not accepted.
-fn refused_and_sent(observations: &[(Time, Observation)]) -> Vec<SoakBreach> {
-    let mut refused = BTreeSet::new();
+/// Returns breaches for messages that were sent after their client was told that they were not accepted.
+fn sent_though_not_accepted(observations: &[(Time, Observation)]) -> Vec<SoakBreach> {
+    let mut not_accepted = BTreeSet::new();
     let mut breaches = Vec::new();
-    let copied: BTreeSet<u64> = observations.iter().filter_map(|(_, seen)| copied_message(seen)).collect();
+    let copied: BTreeSet<u64> =
+        observations.iter().filter_map(|(_, observation)| copied_message(observation)).collect();
     for (at, observation) in observations {
         match observation {
-            Observation::Refused { message } if !copied.contains(message) => {
-                refused.insert(*message);
+            Observation::NotAccepted { message } if !copied.contains(message) => {
+                not_accepted.insert(*message);
             }
-            Observation::Fact(Fact::AttemptStarted { message, .. }) if refused.contains(message) => {
-                let (id, relay) = (message_id(*message), relay_of(*message));
+            Observation::Fact(Fact::AttemptStarted { message, .. }) if not_accepted.contains(message) => {
+                let (id, relay) = (message_id(*message), relay_of_message(*message));
                 breaches.push(SoakBreach {
                     description: format!(
-                        "{:.3} s: {id} is sent though it was not accepted",
+                        "{:.3} s: {id} was sent though it was not accepted",
                         *at as f64 / 1e6
                     ),
                     message: Some(id),
@@ -115,89 +119,93 @@
 }
 
 fn copied_message(observation: &Observation) -> Option<u64> {
-    if let Observation::Copied { message } = observation { Some(*message) } else { None }
+    if let Observation::IdenticalCopySubmitted { message } = observation { Some(*message) } else { None }
 }
 
-/// The fact that an observation is, with its time. The end of a call is as old as the stand-ins were held up just then, and not
-/// older than its beginning.
+/// Returns the fact in an observation, with its time. The end of a call is dated back by the stand-ins' delay at that
+/// time, but not before the call's start.
 fn fact_of(
     at: Time,
     observation: &Observation,
-    held_up: &HeldUp,
-    begun: &BTreeMap<u64, Time>,
+    delays: &StandInDelays,
+    call_starts: &BTreeMap<u64, Time>,
 ) -> Option<(Time, Fact)> {
     match observation {
         Observation::Fact(fact) => Some((at, *fact)),
         Observation::AttemptEnded { message, call, relay, end } => {
             let (message, call, relay, outcome) = (*message, *call, *relay, end.outcome());
-            let begun_at = begun.get(&call).copied().unwrap_or(0);
-            let at = at.saturating_sub(held_up.near(at)).max(begun_at);
+            let started_at = call_starts.get(&call).copied().unwrap_or(0);
+            let at = at.saturating_sub(delays.max_near(at)).max(started_at);
             Some((at, Fact::AttemptEnded { message, call, relay, outcome }))
         }
         _ => None,
     }
 }
 
-/// When the stand-ins' own tasks were held up, and for how long.
-struct HeldUp(BTreeMap<Time, Time>);
+/// Delays of the stand-ins' own tasks, by the time at which they were recorded.
+struct StandInDelays(BTreeMap<Time, Time>);
 
-impl HeldUp {
-    fn new(observations: &[(Time, Observation)]) -> HeldUp {
-        let spans = observations.iter().filter_map(|(at, observation)| match observation {
-            Observation::HeldUp { span } => Some((*at, *span)),
+impl StandInDelays {
+    fn new(observations: &[(Time, Observation)]) -> StandInDelays {
+        let delays = observations.iter().filter_map(|(at, observation)| match observation {
+            Observation::StandInsDelayed { delay } => Some((*at, *delay)),
             _ => None,
         });
-        HeldUp(spans.collect())
+        StandInDelays(delays.collect())
     }
 
-    /// For how long something that was noted then may have waited to be seen.
-    fn near(&self, at: Time) -> Time {
-        let spans = self.0.range(at.saturating_sub(HELD_UP_NOTED_WITHIN)..=at + HELD_UP_NOTED_WITHIN);
-        spans.map(|(_, span)| *span).max().unwrap_or(0)
+    /// Returns the maximum delay of an observation that was recorded at this time.
+    fn max_near(&self, at: Time) -> Time {
+        let delays = self.0.range(at.saturating_sub(DELAY_RECORD_DISTANCE)..=at + DELAY_RECORD_DISTANCE);
+        delays.map(|(_, delay)| *delay).max().unwrap_or(0)
     }
 }
 
-/// The facts, in the order in which the relays knew of them.
+/// Returns the facts in the order in which they happened at the relays.
 fn facts(observations: &[(Time, Observation)]) -> Vec<(Time, Fact)> {
-    let held_up = HeldUp::new(observations);
-    let begun = observations.iter().filter_map(|(at, observation)| match observation {
+    let delays = StandInDelays::new(observations);
+    let call_starts = observations.iter().filter_map(|(at, observation)| match observation {
         Observation::Fact(Fact::AttemptStarted { call, .. }) => Some((*call, *at)),
         _ => None,
     });
-    let begun: BTreeMap<u64, Time> = begun.collect();
-    let seen = observations.iter().filter_map(|(at, seen)| fact_of(*at, seen, &held_up, &begun));
-    let mut facts: Vec<(Time, Fact)> = seen.collect();
+    let call_starts: BTreeMap<u64, Time> = call_starts.collect();
+    let observed =
+        observations.iter().filter_map(|(at, observation)| fact_of(*at, observation, &delays, &call_starts));
+    let mut facts: Vec<(Time, Fact)> = observed.collect();
     facts.sort_by_key(|(at, _)| *at);
     let starts = attempt_starts(&facts);
-    let delivered = delivered_and_read(&facts, &starts);
-    let mut kept = Vec::with_capacity(facts.len());
+    let delivered = delivered_messages(&facts, &starts);
+    let mut adjusted = Vec::with_capacity(facts.len());
     for (at, fact) in facts {
         match fact {
-            // A relay that gave a call up sends the next one at once; the end of the first is seen a moment later.
+            // A relay that cancels a call may start the next one at once, while the endpoint observes the end of the
+            // first a moment later.
             Fact::AttemptEnded { message, call, relay, outcome } => {
                 let next = next_start(&starts, message, call);
                 let at = match next {
-                    Some(next) if next < at && at - next <= END_SEEN_WITHIN => next.saturating_sub(1),
+                    Some(next) if next < at && at - next <= MAX_END_OBSERVATION_DELAY => {
+                        next.saturating_sub(1)
+                    }
                     _ => at,
                 };
-                // An answer that was followed by another attempt was not read.
-                let unread = next.is_some() && outcome == AttemptOutcome::Delivered;
-                let outcome = if unread { AttemptOutcome::Error } else { outcome };
-                kept.push((at, Fact::AttemptEnded { message, call, relay, outcome }));
+                // The relay did not read a response if it made another attempt after it.
+                let is_unread = next.is_some() && outcome == AttemptOutcome::Delivered;
+                let outcome = if is_unread { AttemptOutcome::Error } else { outcome };
+                adjusted.push((at, Fact::AttemptEnded { message, call, relay, outcome }));
             }
-            // Endpoints still read what a process that was killed had written.
-            Fact::RelayDown { .. } => kept.push((at + BYTES_READ_WITHIN, fact)),
-            // A notification for a message that is over does no harm.
+            // Endpoints may still read what a killed process had written.
+            Fact::RelayDown { .. } => adjusted.push((at + MAX_READ_DELAY_AFTER_EXIT, fact)),
+            // A final answer for a delivered message is harmless.
             Fact::FinalAnswerGiven { message, .. } | Fact::FinalAnswerReceived { message }
                 if delivered.contains(&message) => {}
-            _ => kept.push((at, fact)),
+            _ => adjusted.push((at, fact)),
         }
     }
-    kept.sort_by_key(|(at, _)| *at);
-    kept
+    adjusted.sort_by_key(|(at, _)| *at);
+    adjusted
 }
 
-/// When the attempts of each message started, with their calls, in order.
+/// Returns the start times of each message's attempts with their call numbers, in order.
 fn attempt_starts(facts: &[(Time, Fact)]) -> BTreeMap<u64, Vec<(Time, u64)>> {
     let mut starts: BTreeMap<u64, Vec<(Time, u64)>> = BTreeMap::new();
     for (at, fact) in facts {
@@ -208,15 +216,15 @@
     starts
 }
 
-/// When the attempt after this one started.
+/// Returns the start of the message's next attempt after this call.
 fn next_start(starts: &BTreeMap<u64, Vec<(Time, u64)>>, message: u64, call: u64) -> Option<Time> {
     let starts = starts.get(&message)?;
     let position = starts.iter().position(|(_, other)| *other == call)?;
     starts.get(position + 1).map(|(at, _)| *at)
 }
 
-/// Messages whose delivery was answered, and of which no attempt followed.
-fn delivered_and_read(facts: &[(Time, Fact)], starts: &BTreeMap<u64, Vec<(Time, u64)>>) -> BTreeSet<u64> {
+/// Returns the messages that an endpoint answered as delivered without a later attempt.
+fn delivered_messages(facts: &[(Time, Fact)], starts: &BTreeMap<u64, Vec<(Time, u64)>>) -> BTreeSet<u64> {
     let mut delivered = BTreeSet::new();
     for (_, fact) in facts {
         if let Fact::DeliveryAnswered { message, call } = fact
@@ -228,9 +236,9 @@
     delivered
 }
 
-/// The merged timeline of a message: what the stand-ins saw of it, the faults meanwhile, and the relay's log lines.
+/// Returns the merged timeline of a breach: observations of its message and relay, faults, and log lines of the relay.
 pub(crate) fn timeline(breach: &SoakBreach, observations: &[(Time, Observation)], log: &str) -> String {
-    let number = breach.message.as_deref().and_then(crate::recorder::number_of_id);
+    let number = breach.message.as_deref().and_then(crate::recorder::parse_message_id);
     let mut lines = Vec::new();
     for (at, observation) in observations {
         let line = match observation {
@@ -242,10 +250,10 @@
             }
             Observation::Fault(text) => format!("fault: {text}"),
             Observation::AttemptEnded { message, call, end, .. } if number == Some(*message) => {
-                end_line(*message, *call, end)
+                attempt_end_line(*message, *call, end)
             }
-            Observation::Process { relay, what } if breach.relay == Some(*relay) => {
-                format!("relay {relay} {what}")
+            Observation::ProcessEvent { relay, description } if breach.relay == Some(*relay) => {
+                format!("relay {relay} {description}")
             }
             _ => continue,
         };
@@ -253,7 +261,7 @@
     }
     let mut text = format!("{}\n", lines.join("\n"));
     if let Some(id) = &breach.message {
-        text.push_str("log of the relay, lines on the message and its processes:\n");
+        text.push_str("relay log, lines about the message and the relay's processes:\n");
         let is_about = |line: &&str| {
             line.contains(id.as_str())
                 || ["starts as", "ready on", "told to", "stopped with", "spool:"]
@@ -268,33 +276,35 @@
     text
 }
 
-fn end_line(message: u64, call: u64, end: &WireEnd) -> String {
-    let WireEnd { answer, ended_by } = end;
-    format!("call {call} of message {message} ended: written {answer:?}, connection ended by {ended_by:?}")
+fn attempt_end_line(message: u64, call: u64, end: &WireEnd) -> String {
+    let WireEnd { response, closed_by } = end;
+    format!(
+        "call {call} of message {message} ended: response {response:?}, connection closed by {closed_by:?}"
+    )
 }
 
-/// All observations, a line each.
-pub(crate) fn all_lines(observations: &[(Time, Observation)]) -> String {
+/// Returns the text of all observations, one per line.
+pub(crate) fn observations_text(observations: &[(Time, Observation)]) -> String {
     let mut text = String::new();
     for (at, observation) in observations {
         let line = match observation {
             Observation::Fact(fact) => fact.to_string(),
-            Observation::AttemptEnded { message, call, end, .. } => end_line(*message, *call, end),
-            Observation::HeldUp { span } => format!("the stand-ins were held up for {span} us"),
-            Observation::Copied { message } => {
-                format!("message {message} is handed in by another client too")
+            Observation::AttemptEnded { message, call, end, .. } => attempt_end_line(*message, *call, end),
+            Observation::StandInsDelayed { delay } => format!("the stand-ins were delayed by {delay} us"),
+            Observation::IdenticalCopySubmitted { message } => {
+                format!("an identical copy of message {message} is submitted by another client")
             }
             Observation::Unanswered { relay, id } => {
-                format!("request of {id} at relay {relay} got no answer")
+                format!("submission of {id} to relay {relay} got no answer")
             }
-            Observation::Process { relay, what } => format!("relay {relay} {what}"),
+            Observation::ProcessEvent { relay, description } => format!("relay {relay} {description}"),
             Observation::Fault(fault) => format!("fault: {fault}"),
-            Observation::Refused { message } => format!("message {message} is answered as not accepted"),
+            Observation::NotAccepted { message } => format!("message {message} is not accepted"),
             Observation::EndpointFault { endpoint, is_over: false } => {
-                format!("endpoint {endpoint} has trouble")
+                format!("fault of endpoint {endpoint} begins")
             }
             Observation::EndpointFault { endpoint, is_over: true } => {
-                format!("endpoint {endpoint} is well")
+                format!("fault of endpoint {endpoint} is over")
             }
         };
         text.push_str(&format!("{:>9.6} s  {line}\n", *at as f64 / 1e6));
--- a/crates/soak/src/platform.rs
+++ b/crates/soak/src/platform.rs
@@ -1,9 +1,9 @@
-//! Discovery and the platform's notifications, an agent of its own for each relay.
+//! Stand-in for discovery and for the receiver of notifications. Each relay uses an agent (a server) of its own.
 
 use crate::endpoint::Endpoints;
-use crate::http::{Request, RequestReader, answer};
+use crate::http::{Request, RequestReader, response};
 use crate::installation::Installation;
-use crate::recorder::{Recorder, lock, number_of_id};
+use crate::recorder::{Recorder, lock, parse_message_id};
 use mountshift_invariants::{Fact, FinalAnswer, ListedStatus};
 use serde_json::{Value, json};
 use smol::Timer;
@@ -16,29 +16,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Between two looks at a list that may have changed.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// Addresses of each agent: SIGHUP moves a relay from one to the other.
+/// Poll interval for changes of the list.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of addresses of each agent. A reload (SIGHUP) moves a relay from one to the other.
 pub(crate) const AGENT_ADDRESSES: usize = 2;
 
-/// What discovery knows.
+/// List of the endpoints and their statuses, by endpoint.
 #[derive(Clone)]
-struct List {
+struct EndpointList {
     revision: u64,
-    phases: Vec<ListedStatus>,
+    statuses: Vec<ListedStatus>,
 }
 
-/// Discovery and notifications for all relays.
+/// Stand-in for discovery and for the receiver of notifications of all relays.
 pub(crate) struct Platform {
     installation: Installation,
     endpoints: Arc<Endpoints>,
     recorder: Arc<Recorder>,
-    list: Mutex<List>,
-    /// By relay: its agent says nothing.
-    silent: Vec<AtomicBool>,
+    list: Mutex<EndpointList>,
+    /// By relay, whether its agent does not respond.
+    is_silent: Vec<AtomicBool>,
     addresses: Mutex<Vec<[SocketAddr; AGENT_ADDRESSES]>>,
-    /// Messages whose final answer has been noted.
-    noted: Mutex<BTreeSet<u64>>,
+    /// Messages whose final answer has been recorded.
+    messages_with_final_answer: Mutex<BTreeSet<u64>>,
 }
 
 impl Platform {
@@ -47,15 +47,15 @@
         endpoints: &Arc<Endpoints>,
         recorder: &Arc<Recorder>,
     ) -> io::Result<Arc<Platform>> {
-        let phases = vec![ListedStatus::Ready; installation.endpoints.len()];
+        let statuses = vec![ListedStatus::Ready; installation.endpoints.len()];
         let platform = Arc::new(Platform {
             installation: installation.clone(),
             endpoints: endpoints.clone(),
             recorder: recorder.clone(),
-            list: Mutex::new(List { revision: 1, phases }),
-            silent: (0..installation.relays).map(|_| AtomicBool::new(false)).collect(),
+            list: Mutex::new(EndpointList { revision: 1, statuses }),
+            is_silent: (0..installation.relays).map(|_| AtomicBool::new(false)).collect(),
             addresses: Mutex::default(),
-            noted: Mutex::default(),
+            messages_with_final_answer: Mutex::default(),
         });
         for relay in 0..installation.relays {
             let mut addresses = [SocketAddr::from(([127, 0, 0, 1], 0)); AGENT_ADDRESSES];
@@ -69,43 +69,47 @@
         Ok(platform)
     }
 
-    /// An address of a relay's agent.
-    pub(crate) fn address(&self, relay: usize, which: usize) -> SocketAddr {
-        lock(&self.addresses)[relay][which % AGENT_ADDRESSES]
+    /// Returns an address of a relay's agent.
+    pub(crate) fn address(&self, relay: usize, index: usize) -> SocketAddr {
+        lock(&self.addresses)[relay][index % AGENT_ADDRESSES]
     }
 
     pub(crate) fn set_silent(&self, relay: usize, is_silent: bool) {
-        self.silent[relay].store(is_silent, Ordering::SeqCst);
+        self.is_silent[relay].store(is_silent, Ordering::SeqCst);
     }
 
-    /// Changes what is listed of an endpoint.
-    pub(crate) fn set_phase(&self, endpoint: usize, phase: ListedStatus) {
+    /// Changes the listed status of an endpoint.
+    pub(crate) fn set_status(&self, endpoint: usize, status: ListedStatus) {
         let mut list = lock(&self.list);
         list.revision += 1;
-        list.phases[endpoint] = phase;
+        list.statuses[endpoint] = status;
     }
 
-    /// The list that a configuration holds: the first one, whatever was told since.
-    pub(crate) fn first_list(&self) -> Value {
-        self.to_json(&List {
+    /// Returns the list for a relay's configuration: the initial one, even after later changes.
+    pub(crate) fn initial_list(&self) -> Value {
+        self.to_json(&EndpointList {
             revision: 1,
-            phases: vec![ListedStatus::Ready; self.installation.endpoints.len()],
+            statuses: vec![ListedStatus::Ready; self.installation.endpoints.len()],
         })
     }
 
-    /// Notes what a relay that starts now is told from its first moment.
-    pub(crate) fn note_told_at_start(&self, relay: usize) {
-        let list = if self.silent[relay].load(Ordering::SeqCst) {
-            List { revision: 1, phases: vec![ListedStatus::Ready; self.installation.endpoints.len()] }
+    /// Records the list that a relay starting now has from the beginning: the current one, or the one of its
+    /// configuration if its agent is silent.
+    pub(crate) fn record_initial_list(&self, relay: usize) {
+        let list = if self.is_silent[relay].load(Ordering::SeqCst) {
+            EndpointList {
+                revision: 1,
+                statuses: vec![ListedStatus::Ready; self.installation.endpoints.len()],
+            }
         } else {
             lock(&self.list).clone()
         };
-        self.note_told(relay, &list);
+        self.record_list(relay, &list);
     }
 
-    fn note_told(&self, relay: usize, list: &List) {
-        for (endpoint, status) in list.phases.iter().enumerate() {
-            self.recorder.fact(Fact::EndpointListed {
+    fn record_list(&self, relay: usize, list: &EndpointList) {
+        for (endpoint, status) in list.statuses.iter().enumerate() {
+            self.recorder.record_fact(Fact::EndpointListed {
                 relay: relay as u32,
                 endpoint: endpoint as u32,
                 status: *status,
@@ -113,20 +117,21 @@
         }
     }
 
-    fn to_json(&self, list: &List) -> Value {
+    fn to_json(&self, list: &EndpointList) -> Value {
         let mut members = Vec::new();
-        for (endpoint, phase) in list.phases.iter().enumerate() {
-            let phase = match phase {
+        for (endpoint, status) in list.statuses.iter().enumerate() {
+            let phase = match status {
                 ListedStatus::Ready => "Ready",
                 ListedStatus::Draining => "Terminating",
                 ListedStatus::Removed => continue,
             };
-            members.push(self.installation.member(endpoint, self.endpoints.address(endpoint), phase));
+            members.push(self.installation.list_entry(endpoint, self.endpoints.address(endpoint), phase));
         }
         json!({"revision": list.revision, "complete": true, "members": members})
     }
 
-    async fn answer_list(&self, relay: usize, request: &Request) -> String {
+    /// Responds to a request for the list, after a change or at the end of the requested wait. A silent agent waits.
+    async fn list_response(&self, relay: usize, request: &Request) -> String {
         let parameter = |name: &str| -> Option<u64> {
             let text = request.path.split(name).nth(1)?;
             text.split('&').next()?.parse().ok()
@@ -134,26 +139,26 @@
         let index = parameter("index=");
         let until = Instant::now() + Duration::from_millis(parameter("wait=").unwrap_or(0));
         loop {
-            let is_silent = self.silent[relay].load(Ordering::SeqCst);
+            let is_silent = self.is_silent[relay].load(Ordering::SeqCst);
             let list = lock(&self.list).clone();
             if !is_silent && index.is_none_or(|index| index < list.revision) {
-                self.note_told(relay, &list);
-                return answer(200, "", &self.to_json(&list).to_string());
+                self.record_list(relay, &list);
+                return response(200, "", &self.to_json(&list).to_string());
             }
             if !is_silent && Instant::now() >= until {
                 let empty = json!({"revision": index, "complete": false, "members": []});
-                return answer(200, "", &empty.to_string());
+                return response(200, "", &empty.to_string());
             }
-            Timer::after(LOOK_INTERVAL).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
-    fn take_notifications(&self, relay: usize, body: &[u8]) {
+    fn record_notifications(&self, relay: usize, body: &[u8]) {
         for line in String::from_utf8_lossy(body).lines() {
             let Ok(notification) = serde_json::from_str::<Value>(line) else { continue };
-            let Some(message) = notification["id"].as_str().and_then(number_of_id) else { continue };
-            // Notifications may come again; the first one counts.
-            if !lock(&self.noted).insert(message) {
+            let Some(message) = notification["id"].as_str().and_then(parse_message_id) else { continue };
+            // Notifications may be repeated; only the first one is recorded.
+            if !lock(&self.messages_with_final_answer).insert(message) {
                 continue;
             }
             let answer = if notification["state"] == "failed" {
@@ -161,8 +166,8 @@
             } else {
                 FinalAnswer::Rejected { retry_after: notification["after_ms"].as_u64().unwrap_or(0) * 1_000 }
             };
-            self.recorder.fact(Fact::FinalAnswerGiven { message, relay: relay as u32, answer });
-            self.recorder.fact(Fact::FinalAnswerReceived { message });
+            self.recorder.record_fact(Fact::FinalAnswerGiven { message, relay: relay as u32, answer });
+            self.recorder.record_fact(Fact::FinalAnswerReceived { message });
         }
     }
 }
@@ -180,10 +185,10 @@
     let mut reader = RequestReader::default();
     while let Ok(Some(request)) = reader.next(&mut stream).await {
         let text = if request.path == "/status" {
-            platform.take_notifications(relay, &request.body);
-            answer(204, "", "")
+            platform.record_notifications(relay, &request.body);
+            response(204, "", "")
         } else {
-            platform.answer_list(relay, &request).await
+            platform.list_response(relay, &request).await
         };
         if stream.write_all(text.as_bytes()).await.is_err() {
             return;
--- a/crates/soak/src/recorder.rs
+++ b/crates/soak/src/recorder.rs
@@ -1,29 +1,29 @@
-//! What the stand-ins saw, in the order in which they saw it, and what the faults did meanwhile.
+//! Record of what the stand-ins observe, in the order of observation, and of the faults injected meanwhile.
 
 use crate::wire_end::WireEnd;
 use mountshift_invariants::{Fact, Time};
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// What a run has shown.
+/// An observation of a run.
 #[derive(Clone, Debug)]
 pub(crate) enum Observation {
     /// A fact for the checker.
     Fact(Fact),
     /// An attempt ended at its endpoint.
     AttemptEnded { message: u64, call: u64, relay: u32, end: WireEnd },
-    /// The stand-ins' own tasks were held up for so many microseconds: what they saw just now may be so old.
-    HeldUp { span: Time },
-    /// Another client has handed in the very same message: what becomes of it is not this client's alone.
-    Copied { message: u64 },
-    /// A request that was written whole and got no answer though its connection ended, and nothing excuses that.
+    /// The stand-ins' own tasks ran late by `delay` microseconds: what they observed just now may be that old.
+    StandInsDelayed { delay: Time },
+    /// Another client submitted an identical copy of the message, so its outcome does not depend on this client alone.
+    IdenticalCopySubmitted { message: u64 },
+    /// A request was written completely and got no answer although its connection ended, and no fault explains that.
     Unanswered { relay: usize, id: String },
-    /// A message was answered with a rejection or an error: it must not be sent.
-    Refused { message: u64 },
-    /// An endpoint begins to fail, reject, hang or leave, or is well again.
+    /// A submission was answered with a rejection or an error, so the message must not be sent.
+    NotAccepted { message: u64 },
+    /// A fault of an endpoint begins (it fails, rejects, hangs or leaves) or is over.
     EndpointFault { endpoint: usize, is_over: bool },
-    /// A relay's process ended, was not ready, or used too much.
-    Process { relay: usize, what: String },
+    /// A relay's process ended, was not ready, or used too many resources.
+    ProcessEvent { relay: usize, description: String },
     /// A fault began or ended; only for the timeline.
     Fault(String),
 }
@@ -39,52 +39,52 @@
         Recorder { start: Instant::now(), observations: Mutex::default() }
     }
 
-    /// Microseconds since the run began.
+    /// Returns the microseconds since the run began.
     pub(crate) fn now(&self) -> Time {
         self.start.elapsed().as_micros() as Time
     }
 
-    pub(crate) fn fact(&self, fact: Fact) {
-        self.note(Observation::Fact(fact));
+    pub(crate) fn record_fact(&self, fact: Fact) {
+        self.record(Observation::Fact(fact));
     }
 
-    pub(crate) fn fault(&self, text: String) {
-        self.note(Observation::Fault(text));
+    pub(crate) fn record_fault(&self, text: String) {
+        self.record(Observation::Fault(text));
     }
 
-    pub(crate) fn note(&self, observation: Observation) {
+    pub(crate) fn record(&self, observation: Observation) {
         let mut observations = lock(&self.observations);
-        // Read under the lock, so that the order of the times is the order of the list.
+        // The time is read under the lock, so that the list is in order of time.
         observations.push((self.now(), observation));
     }
 
-    /// Everything so far.
+    /// Returns all observations so far.
     pub(crate) fn observations(&self) -> Vec<(Time, Observation)> {
         lock(&self.observations).clone()
     }
 }
 
-/// Locks; a task that panicked while it held the lock left plain data.
+/// Locks a mutex. Poisoning is ignored, because the mutexes protect plain data that is valid even after a panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// The number of a message in facts: its relay and its count there.
+/// Returns the number of a message in facts: its relay and its count there.
 pub(crate) fn message_number(relay: usize, count: u64) -> u64 {
     ((relay as u64) << 32) | count
 }
 
-/// The id of a message as clients write it.
+/// Returns the id of a message as clients write it.
 pub(crate) fn message_id(number: u64) -> String {
     format!("m{number:016x}")
 }
 
-/// The number of a message by its id.
-pub(crate) fn number_of_id(id: &str) -> Option<u64> {
+/// Returns the number of the message with this id.
+pub(crate) fn parse_message_id(id: &str) -> Option<u64> {
     u64::from_str_radix(id.strip_prefix('m')?, 16).ok()
 }
 
-/// The relay that a message belongs to.
-pub(crate) fn relay_of(number: u64) -> usize {
+/// Returns the relay to which a message was submitted.
+pub(crate) fn relay_of_message(number: u64) -> usize {
     (number >> 32) as usize
 }
--- a/crates/soak/src/relay_process.rs
+++ b/crates/soak/src/relay_process.rs
@@ -1,4 +1,5 @@
-//! The relays of a run: processes on loopback, each with a folder that lasts and a control file for its faults.
+//! The relays of a run: processes on loopback addresses, each with a persistent folder and a control file for its
+//! faults.
 
 use crate::SoakError;
 use crate::installation::{Installation, RELAY_MEMORY_MB};
@@ -19,36 +20,39 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// A relay is ready within this time of its start.
+/// Time within which a relay must be ready after its start.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Between two tries to reach it.
+/// Interval between two checks whether a relay is ready.
 const READY_INTERVAL: Duration = Duration::from_millis(20);
-/// SIGKILL comes so long after SIGTERM.
+/// Time from SIGTERM to SIGKILL.
 const KILL_AFTER: Duration = Duration::from_millis(3_700);
-/// A relay starts again so long after its end.
+/// Time from the end of a relay to its next start.
 const RESTART_AFTER: Duration = Duration::from_millis(600);
-/// A successor answers clients so long after its start at the latest.
+/// Time after its start within which a successor must answer clients.
 const SUCCESSOR_START: Duration = Duration::from_millis(400);
-/// Between two signals of a series.
+/// Pause between two signals of a series.
 const BETWEEN_SIGNALS: Duration = Duration::from_millis(40);
-/// Between two looks at a process.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// What was on its way when a process ended counts as struck by that for so long, in microseconds.
-const DISTURBANCE: Time = 100_000;
+/// Interval between two checks whether a process has ended.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time after a restart, in microseconds, during which requests may go unanswered because of the previous process's
+/// end.
+const RESTART_AFTEREFFECT: Time = 100_000;
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
 /// The programs that a soak runs.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// `mountshift-relay`.
+    /// Path of `mountshift-relay`.
     pub relay: PathBuf,
-    /// The library that makes system calls fail, preloaded into it; without one those faults do nothing.
+    /// Path of the fault shim, which is preloaded into the relay. Without it, faults of system calls have no effect.
     pub shim: Option<PathBuf>,
 }
 
 impl Programs {
+    /// Checks that the programs exist.
+    ///
     /// # Errors
-    /// If one of them is not there.
+    /// If one of them does not exist.
     pub(crate) fn check(&self) -> Result<(), SoakError> {
         for path in [Some(&self.relay), self.shim.as_ref()].into_iter().flatten() {
             if !path.exists() {
@@ -59,17 +63,17 @@
     }
 }
 
-/// How an upgrade ends.
+/// End of an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpgradeEnd {
-    /// The first process is told to stop, the second takes over.
+    /// The active process is stopped by SIGTERM and the successor takes over.
     TakenOver,
-    /// The first process is killed, the second takes over.
-    FirstKilled,
-    /// The upgrade is given up: the second process is killed, ...
-    SecondKilled,
-    /// ... or told to stop.
-    SecondStopped,
+    /// The active process is killed and the successor takes over.
+    ActiveKilled,
+    /// The upgrade is aborted: the successor is killed.
+    SuccessorKilled,
+    /// The upgrade is aborted: the successor is stopped by SIGTERM.
+    SuccessorStopped,
 }
 
 /// A relay of the run.
@@ -82,16 +86,17 @@
     recorder: Arc<Recorder>,
     platform: Arc<Platform>,
     installation: Installation,
-    /// The clients' socket, where the platform holds it: kept open for as long as the run, and inherited.
-    inherited: Option<TcpListener>,
+    /// The clients' socket if the platform owns it. It stays open during the whole run and is inherited by the
+    /// processes.
+    inherited_listener: Option<TcpListener>,
     child: Mutex<Option<Child>>,
-    /// Which address of its agent the configuration names.
-    agent_address: AtomicUsize,
-    /// Until then a request without an answer is put down to the process's end or start.
-    disturbed_until: AtomicU64,
+    /// Index of the agent's address in the configuration.
+    agent_address_index: AtomicUsize,
+    /// Time until which a missing answer is attributed to the end or start of the process.
+    missing_answers_tolerated_until: AtomicU64,
     /// All processes started so far.
-    started: std::sync::Mutex<Vec<Pid>>,
-    /// How many faults may make the process end itself.
+    started_processes: std::sync::Mutex<Vec<Pid>>,
+    /// Number of present faults that may make the process kill itself.
     self_kill_faults: AtomicUsize,
 }
 
@@ -107,17 +112,18 @@
     ) -> Result<RelayProcess, SoakError> {
         let dir = run_dir.join(format!("r{number}"));
         std::fs::create_dir_all(dir.join("state")).map_err(SoakError::io(dir.display().to_string()))?;
-        let faults = FaultControl::create(&dir.join("faults")).map_err(SoakError::io("control file"))?;
-        let listener = free_listener(number).map_err(SoakError::io("a port for a relay"))?;
-        let listen = listener.local_addr().map_err(SoakError::io("a port for a relay"))?;
+        let faults =
+            FaultControl::create(&dir.join("faults")).map_err(SoakError::io("control file of a relay"))?;
+        let listener = free_listener(number).map_err(SoakError::io("port for a relay"))?;
+        let listen = listener.local_addr().map_err(SoakError::io("port for a relay"))?;
         if inherits_socket {
             rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty())
-                .map_err(|e| SoakError::io("an inherited socket")(e.into()))?;
+                .map_err(|e| SoakError::io("inherited socket of a relay")(e.into()))?;
         }
         Ok(RelayProcess {
             number,
             listen,
-            inherited: inherits_socket.then_some(listener),
+            inherited_listener: inherits_socket.then_some(listener),
             faults,
             dir,
             programs: programs.clone(),
@@ -125,9 +131,9 @@
             platform: platform.clone(),
             installation: installation.clone(),
             child: Mutex::new(None),
-            agent_address: AtomicUsize::new(0),
-            disturbed_until: AtomicU64::new(0),
-            started: std::sync::Mutex::default(),
+            agent_address_index: AtomicUsize::new(0),
+            missing_answers_tolerated_until: AtomicU64::new(0),
+            started_processes: std::sync::Mutex::default(),
             self_kill_faults: AtomicUsize::new(0),
         })
     }
@@ -138,20 +144,20 @@
         self.start_locked(&mut child).await;
     }
 
-    /// SIGKILL, and a new process on the same folder.
+    /// Kills the process and starts a new one on the same folder.
     pub(crate) async fn kill_and_restart(&self) {
         let mut child = self.child.lock().await;
-        self.disturb(Time::MAX);
+        self.tolerate_missing_answers_until(Time::MAX);
         if let Some(child) = child.as_mut() {
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.recorder.fact(Fact::RelayDown { relay: self.number as u32 });
+        self.recorder.record_fact(Fact::RelayDown { relay: self.number as u32 });
         Timer::after(RESTART_AFTER).await;
         self.start_locked(&mut child).await;
     }
 
-    /// SIGTERM, SIGKILL if it is still there after `kill_after`, and a new process on the same folder.
+    /// Stops the process by SIGTERM, or by SIGKILL after `kill_after`, and starts a new one on the same folder.
     pub(crate) async fn stop_and_restart(&self, kill_after: Option<Duration>) {
         let mut child = self.child.lock().await;
         self.stop_locked(&mut child, kill_after).await;
@@ -159,113 +165,117 @@
         self.start_locked(&mut child).await;
     }
 
-    /// A second process starts beside the first. The two are one relay: whatever binds the first binds the second, and
-    /// nothing excuses a late answer, unless one of them is killed.
+    /// Starts a successor while the process is active. Both processes together are one relay and obey the same rules,
+    /// and no answer may be late unless one of them is killed.
     pub(crate) async fn upgrade(&self, end: UpgradeEnd) {
         let mut slot = self.child.lock().await;
-        let Ok(mut second) = self.spawn() else { return self.note_process("no successor started".into()) };
+        let Ok(mut successor) = self.spawn() else {
+            return self.record_process_event("could not start a successor".into());
+        };
         Timer::after(SUCCESSOR_START).await;
         match end {
             UpgradeEnd::TakenOver => {
-                if let Some(first) = slot.as_mut() {
-                    let _ = kill_process(Pid::from_child(first), Signal::TERM);
-                    let status = wait_for_end(first, KILL_AFTER).await;
-                    self.check_end(status, None);
+                if let Some(active) = slot.as_mut() {
+                    let _ = kill_process(Pid::from_child(active), Signal::TERM);
+                    let status = wait_for_exit(active, KILL_AFTER).await;
+                    self.check_exit_status(status, None);
                 }
-                *slot = Some(second);
+                *slot = Some(successor);
             }
-            UpgradeEnd::FirstKilled => {
-                self.disturb(Time::MAX);
-                if let Some(first) = slot.as_mut() {
-                    let _ = first.kill();
-                    let _ = first.wait();
+            UpgradeEnd::ActiveKilled => {
+                self.tolerate_missing_answers_until(Time::MAX);
+                if let Some(active) = slot.as_mut() {
+                    let _ = active.kill();
+                    let _ = active.wait();
                 }
-                *slot = Some(second);
+                *slot = Some(successor);
             }
-            UpgradeEnd::SecondKilled => {
-                self.disturb(Time::MAX);
-                let _ = second.kill();
-                let _ = second.wait();
+            UpgradeEnd::SuccessorKilled => {
+                self.tolerate_missing_answers_until(Time::MAX);
+                let _ = successor.kill();
+                let _ = successor.wait();
             }
-            UpgradeEnd::SecondStopped => {
-                let _ = kill_process(Pid::from_child(&second), Signal::TERM);
-                let status = wait_for_end(&mut second, KILL_AFTER).await;
-                self.check_end(status, None);
+            UpgradeEnd::SuccessorStopped => {
+                let _ = kill_process(Pid::from_child(&successor), Signal::TERM);
+                let status = wait_for_exit(&mut successor, KILL_AFTER).await;
+                self.check_exit_status(status, None);
             }
         }
         if end != UpgradeEnd::TakenOver {
-            // What the one that ended had accepted has to be found first.
-            self.recorder.fact(Fact::RelayStalled { relay: self.number as u32, until: self.recorder.now() });
+            // The remaining process first has to find the messages that the ended one had accepted.
+            self.recorder
+                .record_fact(Fact::RelayStalled { relay: self.number as u32, until: self.recorder.now() });
         }
-        if matches!(end, UpgradeEnd::FirstKilled | UpgradeEnd::SecondKilled) {
-            self.disturb(self.recorder.now() + DISTURBANCE);
+        if matches!(end, UpgradeEnd::ActiveKilled | UpgradeEnd::SuccessorKilled) {
+            self.tolerate_missing_answers_until(self.recorder.now() + RESTART_AFTEREFFECT);
         }
     }
 
-    /// Signals one behind the other, one of them SIGTERM, and a new process on the same folder. SIGKILL comes no sooner than after
-    /// the first SIGTERM.
-    pub(crate) async fn signal_series(&self, series: impl IntoIterator<Item = Signal>) {
+    /// Sends a series of signals with at least one SIGTERM, waits for the end of the process and starts a new one on
+    /// the same folder. The time until SIGKILL counts from the first SIGTERM.
+    pub(crate) async fn signal_and_restart(&self, series: impl IntoIterator<Item = Signal>) {
         let mut slot = self.child.lock().await;
-        self.agent_address.fetch_add(1, Ordering::SeqCst);
+        self.agent_address_index.fetch_add(1, Ordering::SeqCst);
         self.write_config();
         let Some(child) = slot.as_mut() else { return };
-        self.disturb(Time::MAX);
+        self.tolerate_missing_answers_until(Time::MAX);
         let mut stopped_at = None;
         for signal in series {
             if signal == Signal::TERM && stopped_at.is_none() {
                 stopped_at = Some(Instant::now());
                 let until = self.recorder.now() + KILL_AFTER.as_micros() as Time;
-                self.recorder.fact(Fact::RelayStalled { relay: self.number as u32, until });
+                self.recorder.record_fact(Fact::RelayStalled { relay: self.number as u32, until });
             }
             let _ = kill_process(Pid::from_child(child), signal);
             Timer::after(BETWEEN_SIGNALS).await;
         }
         let elapsed = stopped_at.map_or(Duration::ZERO, |at| at.elapsed());
-        let status = wait_for_end(child, KILL_AFTER.saturating_sub(elapsed)).await;
-        self.recorder.fact(Fact::RelayDown { relay: self.number as u32 });
-        self.check_end(status, None);
+        let status = wait_for_exit(child, KILL_AFTER.saturating_sub(elapsed)).await;
+        self.recorder.record_fact(Fact::RelayDown { relay: self.number as u32 });
+        self.check_exit_status(status, None);
         *slot = None;
         Timer::after(RESTART_AFTER).await;
         self.start_locked(&mut slot).await;
     }
 
-    /// SIGTERM, for good.
+    /// Stops the process by SIGTERM and does not start it again.
     pub(crate) async fn stop(&self) {
         let mut child = self.child.lock().await;
         self.check_resources(child.as_ref());
         self.stop_locked(&mut child, None).await;
     }
 
-    /// The configuration names the other address of its agent; the process is told.
+    /// Changes the agent's address in the configuration and makes the process reload it by SIGHUP.
     pub(crate) async fn reload(&self) {
         let child = self.child.lock().await;
-        self.agent_address.fetch_add(1, Ordering::SeqCst);
+        self.agent_address_index.fetch_add(1, Ordering::SeqCst);
         self.write_config();
         if let Some(child) = child.as_ref() {
             let _ = kill_process(Pid::from_child(child), Signal::HUP);
         }
     }
 
-    /// Starts the process again if it has ended by itself, and notes that unless a fault makes it do so.
-    pub(crate) async fn look(&self) {
+    /// Starts the process again if it has ended by itself, and records that as a breach unless a fault made it kill
+    /// itself.
+    pub(crate) async fn restart_if_exited(&self) {
         let Some(mut child) = self.child.try_lock() else { return };
         let Some(status) = child.as_mut().and_then(|child| child.try_wait().ok().flatten()) else { return };
-        self.disturb(Time::MAX);
-        self.recorder.fact(Fact::RelayDown { relay: self.number as u32 });
+        self.tolerate_missing_answers_until(Time::MAX);
+        self.recorder.record_fact(Fact::RelayDown { relay: self.number as u32 });
         if !self.may_kill_itself() {
-            self.note_process(format!("ended by itself: {status}"));
+            self.record_process_event(format!("exited unexpectedly: {status}"));
         }
         Timer::after(RESTART_AFTER).await;
         self.start_locked(&mut child).await;
     }
 
-    /// A fault begins that may make the process end itself, ...
-    pub(crate) fn begin_self_kills(&self) {
+    /// Registers the beginning of a fault that may make the process kill itself.
+    pub(crate) fn begin_self_kill_fault(&self) {
         self.self_kill_faults.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// ... and is over.
-    pub(crate) fn end_self_kills(&self) {
+    /// Registers the end of a fault that may make the process kill itself.
+    pub(crate) fn end_self_kill_fault(&self) {
         self.self_kill_faults.fetch_sub(1, Ordering::SeqCst);
     }
 
@@ -273,93 +283,93 @@
         self.self_kill_faults.load(Ordering::SeqCst) > 0
     }
 
-    /// True if an end or start of the process may have taken an answer away that was due at `since` or later.
-    pub(crate) fn is_disturbed_since(&self, since: Time) -> bool {
-        since <= self.disturbed_until.load(Ordering::SeqCst)
+    /// Returns whether an end or start of the process may explain a missing answer to a request written at `since`.
+    pub(crate) fn tolerates_missing_answer_since(&self, since: Time) -> bool {
+        since <= self.missing_answers_tolerated_until.load(Ordering::SeqCst)
     }
 
-    /// Ends every process that was started, whatever the tasks of the run do.
+    /// Kills every started process, independently of the tasks of the run.
     pub(crate) fn kill_all(&self) {
-        for process in lock(&self.started).drain(..) {
+        for process in lock(&self.started_processes).drain(..) {
             if is_own_child(process) {
                 let _ = kill_process(process, Signal::KILL);
             }
         }
     }
 
-    pub(crate) fn note_process(&self, what: String) {
-        self.recorder.note(Observation::Process { relay: self.number, what });
+    pub(crate) fn record_process_event(&self, description: String) {
+        self.recorder.record(Observation::ProcessEvent { relay: self.number, description });
     }
 
-    /// The log of all processes so far.
+    /// Returns the log of all processes so far.
     pub(crate) fn log(&self) -> String {
         String::from_utf8_lossy(&std::fs::read(self.dir.join("log")).unwrap_or_default()).into_owned()
     }
 
-    fn disturb(&self, until: Time) {
-        self.disturbed_until.store(until, Ordering::SeqCst);
+    fn tolerate_missing_answers_until(&self, until: Time) {
+        self.missing_answers_tolerated_until.store(until, Ordering::SeqCst);
     }
 
     async fn stop_locked(&self, slot: &mut Option<Child>, kill_after: Option<Duration>) {
         let Some(child) = slot.as_mut() else { return };
-        self.disturb(Time::MAX);
+        self.tolerate_missing_answers_until(Time::MAX);
         let until = self.recorder.now() + KILL_AFTER.as_micros() as Time;
-        // No final answer is overdue from here until the next process is ready.
-        self.recorder.fact(Fact::RelayStalled { relay: self.number as u32, until });
+        // Final answers are not overdue until the next process is ready.
+        self.recorder.record_fact(Fact::RelayStalled { relay: self.number as u32, until });
         let _ = kill_process(Pid::from_child(child), Signal::TERM);
-        let status = wait_for_end(child, kill_after.unwrap_or(KILL_AFTER)).await;
-        self.recorder.fact(Fact::RelayDown { relay: self.number as u32 });
-        self.check_end(status, kill_after);
+        let status = wait_for_exit(child, kill_after.unwrap_or(KILL_AFTER)).await;
+        self.recorder.record_fact(Fact::RelayDown { relay: self.number as u32 });
+        self.check_exit_status(status, kill_after);
         *slot = None;
     }
 
-    fn check_end(&self, status: Option<ExitStatus>, kill_after: Option<Duration>) {
+    fn check_exit_status(&self, status: Option<ExitStatus>, kill_after: Option<Duration>) {
         match status {
             Some(status) if status.success() || self.may_kill_itself() => {}
-            Some(status) => self.note_process(format!("ended after SIGTERM with {status}")),
+            Some(status) => self.record_process_event(format!("exited after SIGTERM with {status}")),
             None if kill_after.is_some() => {}
-            None => self.note_process(format!("had not ended {KILL_AFTER:?} after SIGTERM")),
+            None => self.record_process_event(format!("was still running {KILL_AFTER:?} after SIGTERM")),
         }
     }
 
     async fn start_locked(&self, slot: &mut Option<Child>) {
         self.write_config();
-        // What its agent has counts as told from the first moment of a process.
-        self.platform.note_told_at_start(self.number);
-        self.note_starting();
+        // The process counts as having its agent's list from its start.
+        self.platform.record_initial_list(self.number);
+        self.record_starting();
         let started = Instant::now();
         match self.spawn() {
             Ok(child) => *slot = Some(child),
-            Err(e) => return self.note_process(format!("not started: {e}")),
+            Err(e) => return self.record_process_event(format!("could not be started: {e}")),
         }
         while !self.is_ready().await {
             let ended = slot.as_mut().and_then(|child| child.try_wait().ok().flatten());
             if let Some(status) = ended {
                 if !self.may_kill_itself() {
-                    self.note_process(format!("ended while it started: {status}"));
+                    self.record_process_event(format!("exited during startup: {status}"));
                 }
-                self.recorder.fact(Fact::RelayDown { relay: self.number as u32 });
+                self.recorder.record_fact(Fact::RelayDown { relay: self.number as u32 });
                 Timer::after(RESTART_AFTER).await;
-                self.platform.note_told_at_start(self.number);
-                self.note_starting();
+                self.platform.record_initial_list(self.number);
+                self.record_starting();
                 match self.spawn() {
                     Ok(child) => *slot = Some(child),
-                    Err(e) => return self.note_process(format!("not started: {e}")),
+                    Err(e) => return self.record_process_event(format!("could not be started: {e}")),
                 }
             }
             if started.elapsed() > READY_WITHIN {
-                return self.note_process(format!("not ready within {READY_WITHIN:?}"));
+                return self.record_process_event(format!("was not ready within {READY_WITHIN:?}"));
             }
             Timer::after(READY_INTERVAL).await;
         }
-        self.recorder.fact(Fact::RelayUp { relay: self.number as u32 });
-        self.disturb(self.recorder.now() + DISTURBANCE);
+        self.recorder.record_fact(Fact::RelayUp { relay: self.number as u32 });
+        self.tolerate_missing_answers_until(self.recorder.now() + RESTART_AFTEREFFECT);
     }
 
-    /// Until the process is seen to be ready, no final answer of it is overdue.
-    fn note_starting(&self) {
+    /// Records that the process is starting: its final answers are not overdue until it is ready.
+    fn record_starting(&self) {
         let until = self.recorder.now() + READY_WITHIN.as_micros() as Time;
-        self.recorder.fact(Fact::RelayStalled { relay: self.number as u32, until });
+        self.recorder.record_fact(Fact::RelayStalled { relay: self.number as u32, until });
     }
 
     fn spawn(&self) -> std::io::Result<Child> {
@@ -370,7 +380,7 @@
             .env("NODE_CONFIG", self.dir.join("config.json"))
             .env("NODE_STATE", self.dir.join("state"))
             .env("RUST_LOG", "info,mountshift_relay=debug");
-        if let Some(listener) = &self.inherited {
+        if let Some(listener) = &self.inherited_listener {
             let descriptor = listener.as_raw_fd().to_string();
             command.env("NODE_ACCEPT_FD", &descriptor);
             command.env("LISTEN_FDS", "1").env("LISTEN_FDS_FIRST_FD", &descriptor);
@@ -379,62 +389,64 @@
             command.env("LD_PRELOAD", shim).env(CONTROL_VARIABLE, self.faults.path());
         }
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn()?;
-        lock(&self.started).push(Pid::from_child(&child));
+        lock(&self.started_processes).push(Pid::from_child(&child));
         Ok(child)
     }
 
     async fn is_ready(&self) -> bool {
-        let asked = async {
+        let ping = async {
             let mut stream = TcpStream::connect(self.listen).await?;
             stream.write_all(PING).await?;
             let mut answer = [0; 5];
             stream.read_exact(&mut answer).await?;
             std::io::Result::Ok(answer == *b"+PONG")
         };
-        let late = async {
+        let timeout = async {
             Timer::after(Duration::from_millis(500)).await;
             Ok(false)
         };
-        smol::future::or(asked, late).await.unwrap_or(false)
+        smol::future::or(ping, timeout).await.unwrap_or(false)
     }
 
     fn write_config(&self) {
-        let discovery = self.platform.address(self.number, self.agent_address.load(Ordering::SeqCst));
-        let known = self.platform.first_list();
-        let config = self.installation.config(self.number, self.listen, discovery, &known);
+        let discovery = self.platform.address(self.number, self.agent_address_index.load(Ordering::SeqCst));
+        let known_endpoints = self.platform.initial_list();
+        let config = self.installation.config(self.number, self.listen, discovery, &known_endpoints);
         if let Err(e) = std::fs::write(self.dir.join("config.json"), config.to_string()) {
-            self.note_process(format!("its configuration can't be written: {e}"));
+            self.record_process_event(format!("configuration could not be written: {e}"));
         }
     }
 
-    /// Memory and descriptors stay within the limits.
+    /// Records a breach if the process uses more memory or descriptors than allowed.
     fn check_resources(&self, child: Option<&Child>) {
         let Some(id) = child.map(Child::id) else { return };
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
         let peak_kb = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         let peak_kb: u64 = peak_kb.and_then(|text| text.split_whitespace().next()?.parse().ok()).unwrap_or(0);
         if peak_kb > RELAY_MEMORY_MB * 1_000 {
-            self.note_process(format!("took {peak_kb} kB of memory, {RELAY_MEMORY_MB} MB are allowed"));
+            self.record_process_event(format!(
+                "used {peak_kb} kB of memory; the limit is {RELAY_MEMORY_MB} MB"
+            ));
         }
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count) as u64;
-        let allowed = self.installation.descriptors;
-        if descriptors > allowed {
-            self.note_process(format!("held {descriptors} descriptors, {allowed} are allowed"));
+        let limit = self.installation.max_descriptors;
+        if descriptors > limit {
+            self.record_process_event(format!("had {descriptors} open descriptors; the limit is {limit}"));
         }
     }
 }
 
-/// True if the process is this one's child: the number of one that has ended may be another program's by now.
+/// Returns whether the process is a child of this one. The id of an ended process may belong to another program by now.
 fn is_own_child(process: Pid) -> bool {
     let stat =
         std::fs::read_to_string(format!("/proc/{}/stat", process.as_raw_nonzero())).unwrap_or_default();
-    // Behind the name in brackets: the state, then the parent.
+    // The name in brackets is followed by the state and the parent's id.
     let parent = stat.rsplit(')').next().and_then(|rest| rest.split_whitespace().nth(1));
     parent.and_then(|parent| parent.parse().ok()) == Some(std::process::id())
 }
 
-/// Waits for the end of a process, which is killed after a while; how it ended by itself.
-async fn wait_for_end(child: &mut Child, kill_after: Duration) -> Option<ExitStatus> {
+/// Waits for the end of a process and kills it after `kill_after`. Returns its exit status unless it was killed.
+async fn wait_for_exit(child: &mut Child, kill_after: Duration) -> Option<ExitStatus> {
     let due = Instant::now() + kill_after;
     loop {
         if let Ok(Some(status)) = child.try_wait() {
@@ -445,11 +457,11 @@
             let _ = child.wait();
             return None;
         }
-        Timer::after(LOOK_INTERVAL).await;
+        Timer::after(EXIT_POLL_INTERVAL).await;
     }
 }
 
-/// No process outlives the run, however it ends.
+/// Kills the process, so that none outlives the run.
 impl Drop for RelayProcess {
     fn drop(&mut self) {
         if let Some(child) = self.child.get_mut() {
@@ -459,7 +471,8 @@
     }
 }
 
-/// A listener on a free address: on a loopback address of its own, so that no other connection takes the port before it is used.
+/// Returns a listener on a free port of a loopback address of its own, so that no other connection takes the port
+/// before the relay uses it.
 fn free_listener(number: usize) -> std::io::Result<TcpListener> {
     let process = std::process::id();
     let part = |n: u32| (n % 250) as u8 + 1;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,11 +1,12 @@
-//! Plays a schedule: starts all, lets traffic and faults run, waits until all is due, stops all, judges.
+//! Runs a schedule: starts everything, runs the traffic and the faults, waits until every message is due, stops
+//! everything and checks the observations.
 
 use crate::SoakError;
 use crate::client::Clients;
 use crate::endpoint::Endpoints;
-use crate::injection::{Targets, inject};
+use crate::injection::{FaultTargets, inject};
 use crate::installation::Installation;
-use crate::oracle::{SoakBreach, all_lines, judge, timeline};
+use crate::oracle::{SoakBreach, find_breaches, observations_text, timeline};
 use crate::platform::Platform;
 use crate::recorder::{Observation, Recorder, lock};
 use crate::relay_process::{Programs, RelayProcess};
@@ -20,73 +21,74 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Between two looks at processes that may have ended.
+/// Interval between two checks whether processes have ended.
 const WATCH_INTERVAL: Duration = Duration::from_millis(20);
-/// Between two looks at whether the stand-ins run late, and what counts as late.
-const TICK: Duration = Duration::from_millis(5);
-/// After the last message is due: its final answer may come a little later.
-const SETTLE: Duration = Duration::from_millis(2_500);
-/// Lines in a relay's log that tell of a fault of its own.
-const BAD_LOG_LINES: [&str; 2] = ["panicked at", " violation "];
-/// The folder of a run in `--out`.
+/// Interval at which the stand-ins' own delay is measured, and threshold from which it is recorded.
+const DELAY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Time to wait after the last deadline, because final answers may come a little later.
+const FINAL_ANSWER_GRACE: Duration = Duration::from_millis(2_500);
+/// Texts in a relay's log that show a defect of the relay.
+const DEFECT_LOG_TEXTS: [&str; 2] = ["panicked at", " violation "];
+/// Files in the folder of a run below `--out`.
 const TIMELINE_FILE: &str = "timeline.txt";
 const SCHEDULE_FILE: &str = "schedule.json";
 const OBSERVATIONS_FILE: &str = "observations.txt";
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// What was played.
+    /// The schedule of the run.
     pub schedule: Schedule,
-    /// What broke.
+    /// The breaches found.
     pub breaches: Vec<SoakBreach>,
-    /// The timeline of the first breach.
+    /// Timeline of the first breach; empty without one.
     pub timeline: String,
-    /// Messages that clients submitted, ...
+    /// Number of messages that clients submitted.
     pub submitted: usize,
-    /// ... of which so many were accepted, ...
+    /// Number of messages that relays accepted.
     pub accepted: usize,
-    /// ... and so many delivered.
+    /// Number of messages that endpoints answered as delivered.
     pub delivered: usize,
-    /// Ends of relay processes.
+    /// Number of ends of relay processes.
     pub process_exits: usize,
-    /// System calls that the shim made fail.
+    /// Number of system call faults that the shim injected.
     pub injected_faults: u64,
-    /// The longest time for which the stand-ins' own tasks were held up: on a machine that is too busy they see late what the
-    /// relays did in time, and a breach may be theirs.
+    /// Longest delay of the stand-ins' own tasks. On a busy machine they observe timely events of the relays late,
+    /// which can cause false breaches.
     pub longest_stall: Duration,
 }
 
 impl SoakReport {
-    /// True if every invariant held.
+    /// Returns whether there are no breaches.
     pub fn has_no_breaches(&self) -> bool {
         self.breaches.is_empty()
     }
 }
 
-/// Plays a schedule. With `out`, what it has shown is written there if something broke.
+/// Runs a schedule. If there are breaches and `out` is given, writes the schedule, timeline, observations and logs
+/// there.
 ///
 /// # Errors
-/// If a program is not there, or a file, folder or socket can't be used.
+/// If a program does not exist, or a file, folder or socket can't be used.
 pub fn play(schedule: &Schedule, programs: &Programs, out: Option<&Path>) -> Result<SoakReport, SoakError> {
     programs.check()?;
-    let dir = tempfile::tempdir().map_err(SoakError::io("a folder for the run"))?;
+    let dir = tempfile::tempdir().map_err(SoakError::io("temporary folder of the run"))?;
     let relays: Mutex<Vec<Arc<RelayProcess>>> = Mutex::default();
-    let played = smol::block_on(async {
+    let result = smol::block_on(async {
         let interrupted = async {
             wait_for_interrupt().await;
             Err(SoakError::Interrupted)
         };
-        play_in(schedule, programs, dir.path(), out, &relays).or(interrupted).await
+        run_in_folder(schedule, programs, dir.path(), out, &relays).or(interrupted).await
     });
-    // Also where the run ended early.
+    // Needed if the run ended early.
     for relay in lock(&relays).iter() {
         relay.kill_all();
     }
-    played
+    result
 }
 
-/// Waits for a signal that tells the soak to end.
+/// Waits for SIGINT or SIGTERM.
 async fn wait_for_interrupt() {
     let signals = Signals::new([Signal::Int, Signal::Term]);
     match signals {
@@ -95,7 +97,7 @@
     }
 }
 
-async fn play_in(
+async fn run_in_folder(
     schedule: &Schedule,
     programs: &Programs,
     dir: &Path,
@@ -105,10 +107,10 @@
     let installation = Installation::draw(schedule);
     let recorder = Arc::new(Recorder::new());
     let endpoints =
-        Endpoints::start(&installation, &recorder).await.map_err(SoakError::io("a port for an endpoint"))?;
+        Endpoints::start(&installation, &recorder).await.map_err(SoakError::io("port for an endpoint"))?;
     let platform = Platform::start(&installation, &endpoints, &recorder)
         .await
-        .map_err(SoakError::io("a port for discovery"))?;
+        .map_err(SoakError::io("port for discovery"))?;
     let mut relays = Vec::new();
     for number in 0..schedule.relays {
         let inherits = schedule.inherited_sockets;
@@ -123,7 +125,7 @@
         start.await;
     }
     let clients = Arc::new(Clients::new(&installation, &endpoints, &recorder, &relays));
-    let targets = Arc::new(Targets {
+    let targets = Arc::new(FaultTargets {
         relays: relays.clone(),
         endpoints,
         platform,
@@ -131,8 +133,8 @@
         recorder: recorder.clone(),
         seed: schedule.seed,
     });
-    let watcher = smol::spawn(watch(relays.clone()));
-    let ticker = smol::spawn(note_held_up(recorder.clone()));
+    let watcher = smol::spawn(restart_exited(relays.clone()));
+    let delay_recorder = smol::spawn(record_stand_in_delays(recorder.clone()));
     let traffic_ends = Instant::now() + Duration::from_secs(schedule.seconds);
     let traffic = clients.start(schedule.seed);
     inject(schedule, targets).await;
@@ -141,10 +143,10 @@
     for task in traffic {
         task.await;
     }
-    let longest = installation.classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0);
-    Timer::after(Duration::from_millis(longest) + SETTLE).await;
+    let longest_deadline_ms = installation.classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0);
+    Timer::after(Duration::from_millis(longest_deadline_ms) + FINAL_ANSWER_GRACE).await;
     watcher.cancel().await;
-    ticker.cancel().await;
+    delay_recorder.cancel().await;
     let end = recorder.now();
     let stops: Vec<_> =
         relays.iter().cloned().map(|relay| smol::spawn(async move { relay.stop().await })).collect();
@@ -154,24 +156,25 @@
     Ok(report(schedule, &installation, &recorder, &relays, end, out))
 }
 
-async fn watch(relays: Vec<Arc<RelayProcess>>) {
+/// Restarts relays whose process has ended by itself.
+async fn restart_exited(relays: Vec<Arc<RelayProcess>>) {
     loop {
         Timer::after(WATCH_INTERVAL).await;
         for relay in &relays {
             let relay = relay.clone();
-            smol::spawn(async move { relay.look().await }).detach();
+            smol::spawn(async move { relay.restart_if_exited().await }).detach();
         }
     }
 }
 
-/// Notes when the stand-ins' tasks run late: what they see then is older than it seems.
-async fn note_held_up(recorder: Arc<Recorder>) {
+/// Records delays of the stand-ins' own tasks, because observations made meanwhile are older than their time.
+async fn record_stand_in_delays(recorder: Arc<Recorder>) {
     loop {
-        let due = Instant::now() + TICK;
+        let due = Instant::now() + DELAY_CHECK_INTERVAL;
         Timer::at(due).await;
-        let span = due.elapsed();
-        if span > TICK {
-            recorder.note(Observation::HeldUp { span: span.as_micros() as Time });
+        let delay = due.elapsed();
+        if delay > DELAY_CHECK_INTERVAL {
+            recorder.record(Observation::StandInsDelayed { delay: delay.as_micros() as Time });
         }
     }
 }
@@ -185,19 +188,20 @@
     out: Option<&Path>,
 ) -> SoakReport {
     for relay in relays {
-        for line in relay.log().lines().filter(|line| BAD_LOG_LINES.iter().any(|bad| line.contains(bad))) {
-            relay.note_process(format!("logged: {line}"));
+        for line in relay.log().lines().filter(|line| DEFECT_LOG_TEXTS.iter().any(|text| line.contains(text)))
+        {
+            relay.record_process_event(format!("logged: {line}"));
         }
     }
     let observations = recorder.observations();
-    let breaches = judge(installation, &observations, end);
+    let breaches = find_breaches(installation, &observations, end);
     let first = breaches.first().cloned();
     let text = first.map_or_else(String::new, |breach| {
         let log = breach.relay.map_or_else(String::new, |number| relays[number].log());
         format!("{}\n{}", breach.description, timeline(&breach, &observations, &log))
     });
     if let Some(out) = out.filter(|_| !breaches.is_empty()) {
-        write_out(out, schedule, &text, &all_lines(&observations), relays);
+        write_out(out, schedule, &text, &observations_text(&observations), relays);
     }
     let count = |is_counted: fn(&Fact) -> bool| {
         let facts = observations.iter().filter_map(|(_, observation)| match observation {
@@ -206,12 +210,12 @@
         });
         facts.filter(|fact| is_counted(fact)).count()
     };
-    let held_up = observations.iter().filter_map(|(_, observation)| match observation {
-        Observation::HeldUp { span } => Some(*span),
+    let delays = observations.iter().filter_map(|(_, observation)| match observation {
+        Observation::StandInsDelayed { delay } => Some(*delay),
         _ => None,
     });
     SoakReport {
-        longest_stall: Duration::from_micros(held_up.max().unwrap_or(0)),
+        longest_stall: Duration::from_micros(delays.max().unwrap_or(0)),
         submitted: count(|fact| matches!(fact, Fact::Submitted { .. })),
         accepted: count(|fact| matches!(fact, Fact::Accepted { .. })),
         delivered: count(|fact| matches!(fact, Fact::DeliveryAnswered { .. })),
@@ -229,7 +233,7 @@
     counts.map(|count| count.unwrap_or(0)).sum()
 }
 
-/// Keeps what a run has shown: the schedule, the timeline and the logs.
+/// Writes the schedule, the timeline, the observations and the logs of a run.
 fn write_out(
     out: &Path,
     schedule: &Schedule,
@@ -249,10 +253,10 @@
     }
 }
 
-/// The fewest faults of a schedule that still break something: leaves out one after the other.
+/// Removes faults one after another as long as the schedule still causes a breach, and returns the reduced schedule.
 ///
 /// # Errors
-/// As [`play`].
+/// Same as for [`play`].
 pub fn shrink(schedule: &Schedule, programs: &Programs) -> Result<Schedule, SoakError> {
     let mut smallest = schedule.clone();
     let mut index = 0;
