--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, and when: drawn from a seed alone.
+//! The schedule of a run: its faults and their times, drawn from a seed alone.
 
 use crate::SoakError;
 use rand::Rng;
@@ -9,93 +9,98 @@
 use std::path::Path;
 use std::str::FromStr;
 
-/// Relays in a run at most.
+/// Maximum number of relays in a run.
 pub const MAX_RELAYS: usize = 40;
-/// The shortest run in which a fault can begin, be over and leave something owed, in seconds.
+/// Minimum length of a run in seconds, so that a fault can begin and end while messages are outstanding.
 const MIN_SECONDS: u64 = 10;
-/// Milliseconds between the beginnings of two groups of faults, drawn between these.
+/// Range of the time between the starts of two groups of faults, in milliseconds.
 const GROUP_GAP_MS: (u64, u64) = (2_000, 5_000);
-/// Faults in a group at most; they overlap.
-const MAX_GROUP: usize = 4;
-/// How often a fault of a group strikes what an earlier one strikes.
-const SAME_TARGETS: f64 = 0.7;
-/// How often a group that holds no trouble at endpoints gets one: without it little is owed when a relay is struck.
-const ENDPOINT_TROUBLE: f64 = 0.5;
-/// How often a run draws from few kinds of faults alone: what two or three of them do together is seldom drawn from all.
-const FEW_KINDS: f64 = 0.7;
-/// How many kinds such a run has.
-const KINDS_OF_FEW: (usize, usize) = (2, 5);
-/// The shortest fault.
-const SHORTEST_MS: u64 = 300;
-/// One fault of the folder at a start in so many is a long one, ...
-const LONG_AT_START_IN: i64 = 3;
-/// ... of so many milliseconds: a relay starts 0.6 s into it and has to be ready 10 s later.
-const LONG_AT_START_MS: (u64, u64) = (7_000, 8_500);
-/// Milliseconds before the first fault, and without one before the end.
-const QUIET_MS: u64 = 2_000;
+/// Maximum number of faults in a group. The faults of a group overlap.
+const MAX_GROUP_FAULTS: usize = 4;
+/// Probability that a fault has the same targets as an earlier fault of its group.
+const SAME_TARGETS_PROBABILITY: f64 = 0.7;
+/// Probability that a group without an endpoint fault gets one. Without it few messages are outstanding when a relay
+/// fault begins.
+const ENDPOINT_FAULT_PROBABILITY: f64 = 0.5;
+/// Probability that a run draws from a few kinds of faults only. A given combination of two or three kinds is rare
+/// among all kinds.
+const FEW_KINDS_PROBABILITY: f64 = 0.7;
+/// Range of the number of kinds in such a run.
+const FEW_KINDS_COUNT: (usize, usize) = (2, 5);
+/// Minimum duration of a drawn fault in milliseconds.
+const MIN_FAULT_MS: u64 = 300;
+/// One disk fault at a start in this number is a long one.
+const LONG_DISK_AT_START_IN: i64 = 3;
+/// Range of the duration of a long disk fault at a start, in milliseconds. A relay starts 0.6 s after the fault begins
+/// and has to be ready 10 s later.
+const LONG_DISK_AT_START_MS: (u64, u64) = (7_000, 8_500);
+/// Time without faults at the beginning and at the end of a run, in milliseconds.
+const FAULT_FREE_MS: u64 = 2_000;
 
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Relays are killed, and started again on their folders.
+    /// Relays are killed and started again on their folders.
     Kill,
-    /// Relays get SIGTERM, and are started again.
+    /// Relays are stopped by SIGTERM and started again.
     Stop,
-    /// A second process starts beside each relay and takes over; a quarter of the first ones are killed, and a quarter of
-    /// the upgrades given up. Only where the platform holds the clients' sockets.
+    /// Relays are upgraded: a successor starts and takes over. In a quarter of the upgrades the active process is
+    /// killed, and a quarter is aborted. Requires inherited sockets.
     Upgrade,
-    /// Relays get SIGHUP and another address of discovery.
+    /// Relays get SIGHUP and another address of the discovery service.
     Reload,
-    /// Reload, then stop, within a tenth of a second.
+    /// Relays reload their configuration and are stopped within 0.1 s.
     ReloadAndStop,
     /// The wall clock of relays is stepped.
     Clock,
-    /// Writes to the state folder fail or are cut short, and can't be undone.
+    /// Writes to the state folder fail or write only a part. At times truncation fails too, so that they can't be
+    /// undone.
     Disk,
-    /// A write to the state folder is cut short and the process killed.
+    /// A write to the state folder writes only a part, and the process is killed.
     TornKill,
     /// Writes to the state folder fail while relays are killed and started again.
     DiskAtStart,
-    /// System calls of sockets fail for a shortage of the machine, or are interrupted.
+    /// System calls on sockets fail for a shortage of resources, or are interrupted.
     Sockets,
-    /// Writes to sockets are held up for 0.15 s.
+    /// Writes to sockets are delayed by 0.15 s.
     Hold,
-    /// Endpoints read requests and never answer.
+    /// Endpoints read requests and never respond.
     Hang,
-    /// Endpoints reject.
+    /// Endpoints respond with 503.
     Busy,
-    /// Endpoints tell a wait.
+    /// Endpoints respond with 429 and Retry-After.
     RetryAfter,
-    /// Endpoints answer errors.
+    /// Endpoints respond with errors.
     Errors,
-    /// Endpoints answer late.
+    /// Endpoints respond late.
     Slow,
-    /// Endpoints reset connections in the middle of requests, or before the answer.
+    /// Endpoints reset connections in the middle of requests, or before the response.
     Reset,
-    /// Endpoints send half an answer and stop.
+    /// Endpoints send the beginning of a response and stop.
     HalfAnswer,
     /// Endpoints close idle connections.
     CloseIdle,
     /// An endpoint is drained and removed, and listed again later.
     Drain,
-    /// Discovery is silent.
+    /// The discovery service does not respond.
     Discovery,
-    /// Clients end their sending, stop in the middle, send much at once and go.
+    /// Clients shut their sending side, stop in the middle of a request, or send many requests at once and leave.
     BadClients,
-    /// A client hands in messages under the ids of others.
+    /// A client submits messages under the ids of other clients' messages.
     CopiedIds,
-    /// Idle clients fill the descriptors of relays.
+    /// Idle clients exhaust the descriptors of relays.
     Crowd,
-    /// Relays get SIGHUP and SIGTERM several times, in a drawn order, and are started again.
+    /// Relays get several SIGHUP and SIGTERM in a drawn order, and are started again.
     Signals,
-    /// As an upgrade, while the files of the state folder fail at times.
+    /// Relays are upgraded while system calls on the files of the state folder fail at times.
     UpgradeDisk,
-    /// A process is held up for 0.15 s behind reading a clock.
+    /// Threads of relays are delayed by 0.15 s after reading a clock.
     ClockHold,
-    /// Endpoints answer with what is no whole answer: cut at each byte, dripped, too large, chunked wrongly, no HTTP.
+    /// Endpoints send malformed responses: truncated at any byte, byte by byte, too large, with invalid chunks, or not
+    /// HTTP.
     SpoiltAnswers,
-    /// Connections to endpoints come up a second late.
+    /// Connections to endpoints are established a second late.
     LateConnects,
 }
 
@@ -133,12 +138,12 @@
         FaultKind::LateConnects,
     ];
 
-    /// True if a second process starts beside a relay.
+    /// Returns whether the fault upgrades relays.
     pub(crate) fn is_upgrade(self) -> bool {
         matches!(self, FaultKind::Upgrade | FaultKind::UpgradeDisk)
     }
 
-    /// True if the fault strikes relays, false if it strikes endpoints.
+    /// Returns true if the fault affects relays, and false if it affects endpoints.
     pub(crate) fn targets_relays(self) -> bool {
         !matches!(
             self,
@@ -163,7 +168,7 @@
     fn from_str(text: &str) -> Result<FaultKind, String> {
         serde_json::from_value(text.into()).map_err(|_| {
             let names: Vec<String> = FaultKind::ALL.iter().map(ToString::to_string).collect();
-            format!("{text} is no fault; there are {}", names.join(", "))
+            format!("{text} is not a kind of fault; the kinds are {}", names.join(", "))
         })
     }
 }
@@ -178,59 +183,63 @@
 /// A fault in a schedule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScheduledFault {
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Milliseconds from the beginning.
+    /// Start of the fault in milliseconds from the beginning of the run.
     pub at_ms: u64,
-    /// For how many milliseconds.
+    /// Duration of the fault in milliseconds.
     pub for_ms: u64,
-    /// The numbers of the relays or endpoints that it strikes.
+    /// Numbers of the affected relays or endpoints.
     pub targets: Vec<usize>,
-    /// A number whose meaning depends on the kind: milliseconds of a step, a wait, a delay.
+    /// A number whose meaning depends on the kind: the milliseconds of a clock step, Retry-After or delay, or a drawn
+    /// number that selects a variant of the fault.
     pub amount: i64,
 }
 
 impl ScheduledFault {
-    /// True if a folder fails for longer than a start waits for what it can do without.
-    pub(crate) fn is_long_at_start(&self) -> bool {
-        self.kind == FaultKind::DiskAtStart && self.for_ms >= LONG_AT_START_MS.0
+    /// Returns whether the fault is a disk fault at a start that outlasts the relay's wait for files that it can start
+    /// without.
+    pub(crate) fn is_long_disk_at_start(&self) -> bool {
+        self.kind == FaultKind::DiskAtStart && self.for_ms >= LONG_DISK_AT_START_MS.0
     }
 }
 
-/// What happens in a run.
+/// Schedule of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// From which settings, traffic and faults are drawn.
+    /// Seed of the settings, the traffic and the faults.
     pub seed: u64,
-    /// Seconds of traffic; the run ends some seconds later, once all that was accepted is due.
+    /// Duration of the traffic in seconds. The run ends some seconds later, when the deadlines of all messages have
+    /// passed.
     pub seconds: u64,
-    /// Relays.
+    /// Number of relays.
     pub relays: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// The platform holds the clients' sockets and passes them on: relays can be upgraded.
+    /// Whether relays inherit the clients' sockets from the platform, which upgrades require.
     pub inherited_sockets: bool,
-    /// The faults, in the order of their beginnings.
+    /// Faults in the order of their start.
     pub faults: Vec<ScheduledFault>,
 }
 
-/// The kind of a group's next fault.
+/// Draws the kind of a group's next fault.
 fn draw_kind(kinds: &[FaultKind], group: &[ScheduledFault], random: &mut ChaCha8Rng) -> FaultKind {
-    let lacks_endpoints = group.iter().all(|fault| fault.kind.targets_relays());
-    let at_endpoints: Vec<FaultKind> = kinds.iter().copied().filter(|kind| !kind.targets_relays()).collect();
-    if lacks_endpoints
-        && random.random_bool(ENDPOINT_TROUBLE)
-        && let Some(kind) = at_endpoints.choose(random)
+    let has_no_endpoint_fault = group.iter().all(|fault| fault.kind.targets_relays());
+    let endpoint_kinds: Vec<FaultKind> =
+        kinds.iter().copied().filter(|kind| !kind.targets_relays()).collect();
+    if has_no_endpoint_fault
+        && random.random_bool(ENDPOINT_FAULT_PROBABILITY)
+        && let Some(kind) = endpoint_kinds.choose(random)
     {
         return *kind;
     }
     kinds.choose(random).copied().unwrap_or(FaultKind::Kill)
 }
 
-/// The kinds of a run: all of them, or a few.
+/// Draws the kinds of a run: all given ones, or a few of them.
 fn draw_kinds(kinds: Vec<FaultKind>, random: &mut ChaCha8Rng) -> Vec<FaultKind> {
-    let count = random.random_range(KINDS_OF_FEW.0..=KINDS_OF_FEW.1);
-    if !random.random_bool(FEW_KINDS) || kinds.len() <= count {
+    let count = random.random_range(FEW_KINDS_COUNT.0..=FEW_KINDS_COUNT.1);
+    if !random.random_bool(FEW_KINDS_PROBABILITY) || kinds.len() <= count {
         return kinds;
     }
     let few = rand::seq::index::sample(random, kinds.len(), count);
@@ -241,7 +250,7 @@
     /// Draws a schedule with faults of these kinds.
     ///
     /// # Errors
-    /// If there are too many or no relays, or too little time.
+    /// If the number of relays is 0 or too high, or the time is too short.
     pub fn draw(seed: u64, seconds: u64, relays: usize, kinds: &[FaultKind]) -> Result<Schedule, SoakError> {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let endpoints = random.random_range(6..=12);
@@ -249,22 +258,22 @@
         let mut schedule =
             Schedule { seed, seconds, relays, endpoints, inherited_sockets, faults: Vec::new() };
         schedule.check()?;
-        // Without inherited sockets there are no upgrades to draw.
-        let can_happen = |kind: &&FaultKind| inherited_sockets || !kind.is_upgrade();
-        let kinds: Vec<FaultKind> = kinds.iter().filter(can_happen).copied().collect();
+        // Upgrades require inherited sockets.
+        let is_possible = |kind: &&FaultKind| inherited_sockets || !kind.is_upgrade();
+        let kinds: Vec<FaultKind> = kinds.iter().filter(is_possible).copied().collect();
         let kinds = draw_kinds(kinds, &mut random);
-        let end_ms = seconds * 1_000 - QUIET_MS;
-        let mut group_at = QUIET_MS;
-        while group_at + QUIET_MS < end_ms && !kinds.is_empty() {
+        let end_ms = seconds * 1_000 - FAULT_FREE_MS;
+        let mut group_at = FAULT_FREE_MS;
+        while group_at + FAULT_FREE_MS < end_ms && !kinds.is_empty() {
             let mut group: Vec<ScheduledFault> = Vec::new();
-            for _ in 0..random.random_range(1..=MAX_GROUP) {
+            for _ in 0..random.random_range(1..=MAX_GROUP_FAULTS) {
                 let at_ms = group_at + random.random_range(0..1_000);
                 let kind = draw_kind(&kinds, &group, &mut random);
                 let mut fault = schedule.draw_fault(kind, at_ms, end_ms, &mut random);
-                // What strikes the same relays is what crosses.
-                let earlier = group.iter().find(|e| e.kind.targets_relays() == kind.targets_relays());
+                // Faults interact mainly if they affect the same targets.
+                let earlier = group.iter().find(|other| other.kind.targets_relays() == kind.targets_relays());
                 if let Some(earlier) = earlier
-                    && random.random_bool(SAME_TARGETS)
+                    && random.random_bool(SAME_TARGETS_PROBABILITY)
                 {
                     fault.targets.clone_from(&earlier.targets);
                 }
@@ -291,16 +300,16 @@
             _ => random.random_range(0..1_000),
         };
         let (shortest, longest) = match kind {
-            FaultKind::DiskAtStart if amount % LONG_AT_START_IN == 0 => LONG_AT_START_MS,
-            FaultKind::Disk | FaultKind::DiskAtStart | FaultKind::Sockets => (SHORTEST_MS, 1_500),
-            FaultKind::Hold | FaultKind::ClockHold => (SHORTEST_MS, 1_000),
-            FaultKind::UpgradeDisk => (SHORTEST_MS, 1_500),
-            _ => (SHORTEST_MS, 4_000),
+            FaultKind::DiskAtStart if amount % LONG_DISK_AT_START_IN == 0 => LONG_DISK_AT_START_MS,
+            FaultKind::Disk | FaultKind::DiskAtStart | FaultKind::Sockets => (MIN_FAULT_MS, 1_500),
+            FaultKind::Hold | FaultKind::ClockHold => (MIN_FAULT_MS, 1_000),
+            FaultKind::UpgradeDisk => (MIN_FAULT_MS, 1_500),
+            _ => (MIN_FAULT_MS, 4_000),
         };
         let for_ms = random.random_range(shortest..=longest).min(end_ms.saturating_sub(at_ms)).max(100);
         let count = if kind.targets_relays() { self.relays } else { self.endpoints };
-        let struck = random.random_range(1..=count.div_ceil(3));
-        let mut targets = rand::seq::index::sample(random, count, struck).into_vec();
+        let target_count = random.random_range(1..=count.div_ceil(3));
+        let mut targets = rand::seq::index::sample(random, count, target_count).into_vec();
         targets.sort_unstable();
         ScheduledFault { kind, at_ms, for_ms, targets, amount }
     }
@@ -308,7 +317,7 @@
     /// Reads a schedule from its file.
     ///
     /// # Errors
-    /// If it can't be read, or asks for what the soak does not do.
+    /// If the file can't be read, or the schedule contains something that the soak does not support.
     pub fn read(path: &Path) -> Result<Schedule, SoakError> {
         let text = std::fs::read_to_string(path).map_err(SoakError::io(path.display().to_string()))?;
         let schedule: Schedule = serde_json::from_str(&text)
@@ -317,31 +326,34 @@
         Ok(schedule)
     }
 
-    /// The text of its file.
+    /// Returns the text of a schedule file.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
 
     fn check(&self) -> Result<(), SoakError> {
         if self.relays == 0 || self.relays > MAX_RELAYS {
-            return Err(SoakError::Unplayable(format!(
+            return Err(SoakError::UnsupportedSchedule(format!(
                 "{} relays: 1 to {MAX_RELAYS} are allowed",
                 self.relays
             )));
         }
         if self.seconds < MIN_SECONDS {
-            return Err(SoakError::Unplayable(format!(
-                "{} s: {MIN_SECONDS} at least are needed",
+            return Err(SoakError::UnsupportedSchedule(format!(
+                "{} s: at least {MIN_SECONDS} s are needed",
                 self.seconds
             )));
         }
         for fault in &self.faults {
             let count = if fault.kind.targets_relays() { self.relays } else { self.endpoints };
             if fault.kind.is_upgrade() && !self.inherited_sockets {
-                return Err(SoakError::Unplayable("an upgrade needs inherited sockets".into()));
+                return Err(SoakError::UnsupportedSchedule("an upgrade needs inherited sockets".into()));
             }
             if fault.targets.iter().any(|target| *target >= count) {
-                return Err(SoakError::Unplayable(format!("{}: a target that is not there", fault.kind)));
+                return Err(SoakError::UnsupportedSchedule(format!(
+                    "{}: a target does not exist",
+                    fault.kind
+                )));
             }
         }
         Ok(())
--- a/crates/soak/src/wire_end.rs
+++ b/crates/soak/src/wire_end.rs
@@ -1,27 +1,27 @@
-//! The end of a call as its endpoint sees it on the wire, and what the protocol's table says of that. Shares nothing with the
-//! relay: what a relay believes of a call is what the oracle judges.
+//! The end of a call as its endpoint sees it on the wire, and the outcome that the protocol assigns to it. Shares no
+//! code with the relay, because the oracle checks the relay's own view of a call.
 
 use mountshift_invariants::{AttemptOutcome, Time};
 
-/// What the endpoint has written of its answer.
+/// Part of the response that the endpoint has written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WrittenAnswer {
+pub(crate) enum WrittenResponse {
     Nothing,
-    /// A part of it.
+    /// Only a part of the response.
     Part,
-    /// At least the first line of an answer to one message, which says 200.
+    /// The status code 200 of a response to a single message, perhaps without the rest.
     Delivery,
-    /// All of it: that the message was delivered, ...
+    /// The whole response; the message was delivered.
     Delivered,
-    /// ... failed, ...
+    /// The whole response; the message failed.
     Failed,
-    /// ... or was turned away, with a wait of so many microseconds or 0.
+    /// The whole response; the message was rejected with this Retry-After in microseconds, or 0 without one.
     Refused(Time),
 }
 
-/// Who ended the call's connection, where it ended with the call.
+/// A side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ender {
+pub(crate) enum ConnectionSide {
     Relay,
     Endpoint,
 }
@@ -29,25 +29,28 @@
 /// The end of a call at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct WireEnd {
-    pub(crate) answer: WrittenAnswer,
-    /// None if the connection goes on.
-    pub(crate) ended_by: Option<Ender>,
+    pub(crate) response: WrittenResponse,
+    /// The side that closed the connection together with the call; `None` if the connection stays open.
+    pub(crate) closed_by: Option<ConnectionSide>,
 }
 
 impl WireEnd {
-    /// The answer was written whole.
-    pub(crate) fn answered(answer: WrittenAnswer) -> WireEnd {
-        WireEnd { answer, ended_by: None }
+    /// Returns the end of a call whose whole response was written.
+    pub(crate) fn responded(response: WrittenResponse) -> WireEnd {
+        WireEnd { response, closed_by: None }
     }
 
-    /// The outcome by the protocol's table: an answer that breaks off is a reset, a call that is given up a cancel.
+    /// Returns the outcome by the protocol: a truncated response counts as a reset, a call that the relay ends as
+    /// cancelled.
     pub(crate) fn outcome(self) -> AttemptOutcome {
-        match (self.answer, self.ended_by) {
-            (WrittenAnswer::Delivered | WrittenAnswer::Delivery, _) => AttemptOutcome::Delivered,
-            (WrittenAnswer::Failed, _) => AttemptOutcome::Error,
-            (WrittenAnswer::Refused(retry_after), _) => AttemptOutcome::Rejected { retry_after },
-            (WrittenAnswer::Nothing | WrittenAnswer::Part, Some(Ender::Relay)) => AttemptOutcome::Cancelled,
-            (WrittenAnswer::Nothing | WrittenAnswer::Part, _) => AttemptOutcome::Reset,
+        match (self.response, self.closed_by) {
+            (WrittenResponse::Delivered | WrittenResponse::Delivery, _) => AttemptOutcome::Delivered,
+            (WrittenResponse::Failed, _) => AttemptOutcome::Error,
+            (WrittenResponse::Refused(retry_after), _) => AttemptOutcome::Rejected { retry_after },
+            (WrittenResponse::Nothing | WrittenResponse::Part, Some(ConnectionSide::Relay)) => {
+                AttemptOutcome::Cancelled
+            }
+            (WrittenResponse::Nothing | WrittenResponse::Part, _) => AttemptOutcome::Reset,
         }
     }
 }
--- a/crates/soak/src/wire_end_tests.rs
+++ b/crates/soak/src/wire_end_tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn only_a_whole_answer_tells_that_a_call_is_over() {
-    let outcome = |answer, ended_by| WireEnd { answer, ended_by }.outcome();
-    for answer in [WrittenAnswer::Nothing, WrittenAnswer::Part] {
-        for ended_by in [None, Some(Ender::Relay), Some(Ender::Endpoint)] {
-            assert!(outcome(answer, ended_by).may_still_run(), "{answer:?}, {ended_by:?}");
+fn only_a_complete_response_shows_that_the_call_is_over() {
+    let outcome = |response, closed_by| WireEnd { response, closed_by }.outcome();
+    for response in [WrittenResponse::Nothing, WrittenResponse::Part] {
+        for closed_by in [None, Some(ConnectionSide::Relay), Some(ConnectionSide::Endpoint)] {
+            assert!(outcome(response, closed_by).may_still_run(), "{response:?}, {closed_by:?}");
         }
     }
-    for answer in [WrittenAnswer::Delivered, WrittenAnswer::Failed, WrittenAnswer::Refused(0)] {
-        assert!(!outcome(answer, Some(Ender::Endpoint)).may_still_run(), "{answer:?}");
+    for response in [WrittenResponse::Delivered, WrittenResponse::Failed, WrittenResponse::Refused(0)] {
+        assert!(!outcome(response, Some(ConnectionSide::Endpoint)).may_still_run(), "{response:?}");
     }
 }
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -1,11 +1,12 @@
-//! A short soak of real relays, and the schedules that soaks are drawn from. CI plays the fixed schedule beside this file;
-//! longer ones are played by hand (`mountshift soak`).
+//! Short soaks of real relays, and tests of schedules. CI runs the fixed schedule in this folder; longer soaks are run
+//! by hand (`mountshift soak`).
 
 use mountshift_soak::{FaultKind, MAX_RELAYS, Programs, Schedule, play};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The relay and the shim of this build. The relay of the whole workspace's tests is there already; alone it is built.
+/// Returns the relay and the shim of this build. The relay exists already when the tests of the whole workspace run;
+/// otherwise this builds it.
 fn programs() -> Programs {
     let test = std::env::current_exe().expect("a program");
     let dependencies = test.parent().expect("a folder");
@@ -25,17 +26,16 @@
 #[test]
 fn every_invariant_holds_under_the_fixed_schedule() {
     let schedule = Schedule::read(&fixed_schedule()).expect("a schedule");
-    let report = play(&schedule, &programs(), None).expect("played");
+    let report = play(&schedule, &programs(), None).expect("a report");
     assert!(report.has_no_breaches(), "{}\n{:#?}", report.timeline, report.breaches);
     assert!(report.delivered > 500 && report.process_exits >= 6 && report.injected_faults > 0, "{report:?}");
 }
 
-/// A seed whose schedule has each of the kinds that the fixed schedule lacks.
-const SEED_OF_NEWER_KINDS: u64 = 193;
+/// Seed whose schedule contains every kind that the fixed schedule lacks.
+const SEED_OF_OTHER_KINDS: u64 = 193;
 
-// What the fixed schedule lacks, drawn: spoilt answers, copied ids, series of signals and the like.
 #[test]
-fn every_invariant_holds_under_the_newer_kinds_of_faults() {
+fn every_invariant_holds_under_the_kinds_of_faults_that_the_fixed_schedule_lacks() {
     let kinds = [
         FaultKind::CopiedIds,
         FaultKind::Crowd,
@@ -45,24 +45,24 @@
         FaultKind::SpoiltAnswers,
         FaultKind::LateConnects,
     ];
-    let schedule = Schedule::draw(SEED_OF_NEWER_KINDS, 20, 4, &kinds).expect("a schedule");
-    let drawn = |kind| schedule.faults.iter().any(|fault| fault.kind == kind);
-    assert!(kinds.into_iter().all(drawn), "{}", schedule.to_json());
-    let report = play(&schedule, &programs(), None).expect("played");
+    let schedule = Schedule::draw(SEED_OF_OTHER_KINDS, 20, 4, &kinds).expect("a schedule");
+    let is_drawn = |kind| schedule.faults.iter().any(|fault| fault.kind == kind);
+    assert!(kinds.into_iter().all(is_drawn), "{}", schedule.to_json());
+    let report = play(&schedule, &programs(), None).expect("a report");
     assert!(report.has_no_breaches(), "{}\n{:#?}", report.timeline, report.breaches);
     assert!(report.delivered > 500 && report.process_exits > 0, "{report:?}");
 }
 
 #[test]
-fn a_seed_draws_the_same_schedule_each_time_and_another_seed_another_one() {
+fn schedules_differ_by_seed_only_and_have_overlapping_faults() {
     let draw = |seed| Schedule::draw(seed, 60, 20, &FaultKind::ALL).expect("a schedule");
     assert_eq!(draw(7), draw(7));
     assert_ne!(draw(7), draw(8));
-    let overlaps = |schedule: &Schedule| {
+    let overlap_count = |schedule: &Schedule| {
         let faults = &schedule.faults;
         faults.windows(2).filter(|pair| pair[1].at_ms < pair[0].at_ms + pair[0].for_ms).count()
     };
-    assert!((1..=20).all(|seed| overlaps(&draw(seed)) >= 3));
+    assert!((1..=20).all(|seed| overlap_count(&draw(seed)) >= 3));
 }
 
 #[test]
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn what_can_not_be_played_is_refused_in_one_line() {
-    let refused = |seconds, relays| {
-        let error = Schedule::draw(1, seconds, relays, &FaultKind::ALL).expect_err("it is refused");
+fn invalid_soaks_are_rejected_with_one_line() {
+    let assert_rejected = |seconds, relays| {
+        let error = Schedule::draw(1, seconds, relays, &FaultKind::ALL).expect_err("an invalid schedule");
         assert_eq!(error.to_string().lines().count(), 1);
     };
-    refused(60, 0);
-    refused(60, MAX_RELAYS + 1);
-    refused(1, 20);
+    assert_rejected(60, 0);
+    assert_rejected(60, MAX_RELAYS + 1);
+    assert_rejected(1, 20);
     let missing = Programs { relay: "/nowhere/relay".into(), shim: None };
     let schedule = Schedule::draw(1, 60, 2, &[]).expect("a schedule");
-    let error = play(&schedule, &missing, None).expect_err("it is refused");
-    assert_eq!(error.to_string(), "/nowhere/relay: not there; build it or name another one");
+    let error = play(&schedule, &missing, None).expect_err("a missing program");
+    assert_eq!(error.to_string(), "/nowhere/relay: file not found; build the program or name another one");
 }
