--- a/crates/soak/src/copies.rs
+++ b/crates/soak/src/copies.rs
@@ -12,8 +12,8 @@
 pub(crate) const COPY_BODY: &str = "copy";
 /// Ordering key of a different message under a copied id; no other client uses it.
 const COPY_KEY: u64 = 99;
-/// One copy in this number is identical to the original message.
-const IDENTICAL_COPY_IN: u32 = 4;
+/// Average number of copies per copy that is identical to the original message.
+const COPIES_PER_IDENTICAL_COPY: u32 = 4;
 /// Time by which every second copy is sent before the original message; the others race with it.
 const HEAD_START: Duration = Duration::from_millis(15);
 
@@ -24,7 +24,7 @@
     original: &Submission,
     random: &mut ChaCha8Rng,
 ) {
-    let is_identical = random.random_range(0..IDENTICAL_COPY_IN) == 0;
+    let is_identical = random.random_range(0..COPIES_PER_IDENTICAL_COPY) == 0;
     if is_identical {
         clients.recorder.record(Observation::IdenticalCopySubmitted { message: original.number });
     }
--- a/crates/soak/src/early_end.rs
+++ b/crates/soak/src/early_end.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns breaches for messages that failed early and without an attempt, for no reason that the stand-ins observed.
-pub(crate) fn early_ends(
+pub(crate) fn find_early_failures(
     installation: &Installation,
     observations: &[(Time, Observation)],
 ) -> Vec<SoakBreach> {
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -295,7 +295,7 @@
     }
 }
 
-/// Responds to a call by the endpoint's present behaviour. Returns whether the connection stays open.
+/// Responds to a call by the endpoint's current behaviour. Returns whether the connection stays open.
 async fn respond(stream: &mut TcpStream, call: &Call, endpoints: &Endpoints) -> bool {
     match endpoints.behaviour(call.endpoint) {
         Behaviour::Normal | Behaviour::CloseIdle | Behaviour::LateConnects => {
--- a/crates/soak/src/malformed_response.rs
+++ b/crates/soak/src/malformed_response.rs
@@ -18,8 +18,8 @@
 const DELIVERY: &[u8] = b"HTTP/1.1 200 Status\r\nContent-Length: 9\r\n\r\nsome text";
 /// Length of a response up to the space after the status code.
 const DELIVERY_STATUS_BYTES: usize = 13;
-/// One malformed response in this number is a truncated delivery.
-const DELIVERY_IN: u64 = 3;
+/// Number of malformed responses per truncated delivery.
+const RESPONSES_PER_DELIVERY: u64 = 3;
 
 /// Defect of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
     /// Returns the response to the call of this number. The defects take turns, and over all calls a response is
     /// truncated at each of its bytes.
     pub(crate) fn of_call(number: u64, messages: usize) -> MalformedResponse {
-        let kind = number / DELIVERY_IN;
+        let kind = number / RESPONSES_PER_DELIVERY;
         // At least one byte, but never the whole response.
         let length = 1 + (kind / 8) as usize % (ERROR.len() - 1);
         let defect = match kind % 8 {
@@ -65,7 +65,7 @@
             6 => ResponseDefect::InvalidChunk,
             _ => ResponseDefect::TooLarge,
         };
-        let is_delivery = messages == 1 && number.is_multiple_of(DELIVERY_IN);
+        let is_delivery = messages == 1 && number.is_multiple_of(RESPONSES_PER_DELIVERY);
         MalformedResponse { text: if is_delivery { DELIVERY } else { ERROR }, defect }
     }
 
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,7 +1,7 @@
 //! The oracle: finds breaches in the observations of the stand-ins. The six rules are checked by
 //! `mountshift-invariants`.
 
-use crate::early_end::early_ends;
+use crate::early_end::find_early_failures;
 use crate::installation::Installation;
 use crate::recorder::{Observation, message_id, relay_of_message};
 use crate::wire_end::WireEnd;
@@ -64,7 +64,7 @@
         }
     }
     breaches.extend(sent_though_not_accepted(observations));
-    breaches.extend(early_ends(installation, observations));
+    breaches.extend(find_early_failures(installation, observations));
     let mut checker = InvariantChecker::new(installation.rule_parameters());
     for (at, fact) in facts(observations) {
         checker.observe(at, fact);
--- a/crates/soak/src/relay_process.rs
+++ b/crates/soak/src/relay_process.rs
@@ -96,7 +96,7 @@
     missing_answers_tolerated_until: AtomicU64,
     /// All processes started so far.
     started_processes: std::sync::Mutex<Vec<Pid>>,
-    /// Number of present faults that may make the process kill itself.
+    /// Number of current faults that may make the process kill itself.
     self_kill_faults: AtomicUsize,
 }
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -29,7 +29,7 @@
 const FINAL_ANSWER_GRACE: Duration = Duration::from_millis(2_500);
 /// Texts in a relay's log that show a defect of the relay.
 const DEFECT_LOG_TEXTS: [&str; 2] = ["panicked at", " violation "];
-/// Files in the folder of a run below `--out`.
+/// Names of the files in the folder of a run below `--out`.
 const TIMELINE_FILE: &str = "timeline.txt";
 const SCHEDULE_FILE: &str = "schedule.json";
 const OBSERVATIONS_FILE: &str = "observations.txt";
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -29,8 +29,8 @@
 const FEW_KINDS_COUNT: (usize, usize) = (2, 5);
 /// Minimum duration of a drawn fault in milliseconds.
 const MIN_FAULT_MS: u64 = 300;
-/// One disk fault at a start in this number is a long one.
-const LONG_DISK_AT_START_IN: i64 = 3;
+/// Average number of disk faults at a start per long one.
+const FAULTS_PER_LONG_DISK_AT_START: i64 = 3;
 /// Range of the duration of a long disk fault at a start, in milliseconds. A relay starts 0.6 s after the fault begins
 /// and has to be ready 10 s later.
 const LONG_DISK_AT_START_MS: (u64, u64) = (7_000, 8_500);
@@ -300,7 +300,7 @@
             _ => random.random_range(0..1_000),
         };
         let (shortest, longest) = match kind {
-            FaultKind::DiskAtStart if amount % LONG_DISK_AT_START_IN == 0 => LONG_DISK_AT_START_MS,
+            FaultKind::DiskAtStart if amount % FAULTS_PER_LONG_DISK_AT_START == 0 => LONG_DISK_AT_START_MS,
             FaultKind::Disk | FaultKind::DiskAtStart | FaultKind::Sockets => (MIN_FAULT_MS, 1_500),
             FaultKind::Hold | FaultKind::ClockHold => (MIN_FAULT_MS, 1_000),
             FaultKind::UpgradeDisk => (MIN_FAULT_MS, 1_500),
