--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -1,5 +1,5 @@
-//! The relay under system calls that fail and a wall clock that is stepped. The library preloaded into it injects both;
-//! the calls that reach it leave through the C library.
+//! The relay with failing system calls and a stepped wall clock. A preloaded library injects both into calls that go through
+//! the C library.
 
 #[allow(dead_code)]
 mod support;
@@ -14,50 +14,51 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// An endpoint that rejects everything until the flag is set.
-fn busy_until_told() -> (Arc<AtomicBool>, Server) {
-    let well = Arc::new(AtomicBool::new(false));
-    let told = well.clone();
+/// Starts an endpoint that rejects every call until the flag is set.
+fn endpoint_rejecting_until_set() -> (Arc<AtomicBool>, Server) {
+    let is_available = Arc::new(AtomicBool::new(false));
+    let available = is_available.clone();
     let endpoint =
-        Server::start(move |_| if told.load(Ordering::SeqCst) { ok() } else { answer(503, "", "") });
-    (well, endpoint)
+        Server::start(move |_| if available.load(Ordering::SeqCst) { ok() } else { respond(503, "", "") });
+    (is_available, endpoint)
 }
 
-/// Submits messages with such ids and gives back the ids that were accepted.
-fn submit_all(relay: &Relay, ids: impl IntoIterator<Item = String>, list: &str) -> BTreeSet<String> {
+/// Submits messages with these ids and returns the ids of the accepted ones.
+fn submit_all(relay: &Relay, ids: impl IntoIterator<Item = String>, parameters: &str) -> BTreeSet<String> {
     let mut client = relay.client();
     let mut accepted = BTreeSet::new();
     for id in ids {
-        let answer = client.ask(&submit_request(&id, 0, list, b"x"));
-        if answer == "+OK" {
+        let reply = client.request(&submit_request(&id, 0, parameters, b"x"));
+        if reply == "+OK" {
             accepted.insert(id);
         } else {
-            assert!(answer.starts_with("-BUSY"), "{answer}");
+            assert!(reply.starts_with("-BUSY"), "{reply}");
         }
     }
     accepted
 }
 
-fn delivered(endpoint: &Server) -> BTreeSet<String> {
+/// Returns the ids of all messages that the endpoint received.
+fn received_ids(endpoint: &Server) -> BTreeSet<String> {
     endpoint.ids().into_iter().collect()
 }
 
 #[test_case(HOUR_MS; "an hour ahead")]
 #[test_case(-HOUR_MS; "an hour behind")]
-fn a_wall_clock_step_across_a_restart_ends_no_message_early(step_ms: i64) {
-    let (well, endpoint) = busy_until_told();
+fn wall_clock_step_across_a_restart_ends_no_message_early(step_ms: i64) {
+    let (is_available, endpoint) = endpoint_rejecting_until_set();
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let faults = fixture.faults();
-    let relay = fixture.relay_with_faults(&faults);
+    let faults = fixture.fault_control();
+    let relay = fixture.start_relay_with_faults(&faults);
     let ids = (0..30).map(|n| format!("m{n}"));
     let accepted = submit_all(&relay, ids, "c=any,d=15000,dest=7");
     relay.signal("KILL");
     drop(relay);
-    faults.set_wall_clock_offset_ms(step_ms).expect("a step");
-    well.store(true, Ordering::SeqCst);
+    faults.set_wall_clock_offset_ms(step_ms).expect("step the clock");
+    is_available.store(true, Ordering::SeqCst);
     let calls_before = endpoint.ids().len();
-    let _relay = fixture.relay_with_faults(&faults);
-    until("all messages", || {
+    let _relay = fixture.start_relay_with_faults(&faults);
+    wait_until("all messages", || {
         let later: BTreeSet<String> = endpoint.ids().split_off(calls_before).into_iter().collect();
         later == accepted
     });
@@ -65,46 +66,47 @@
 }
 
 #[test]
-fn a_wall_clock_step_back_across_a_restart_delays_no_final_answer() {
-    let (_, endpoint) = busy_until_told();
+fn backward_wall_clock_step_across_a_restart_delays_no_final_answer() {
+    let (_, endpoint) = endpoint_rejecting_until_set();
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let faults = fixture.faults();
-    let relay = fixture.relay_with_faults(&faults);
+    let faults = fixture.fault_control();
+    let relay = fixture.start_relay_with_faults(&faults);
     let accepted = submit_all(&relay, (0..30).map(|n| format!("m{n}")), "c=any,d=3000,dest=7");
     relay.signal("KILL");
     drop(relay);
-    faults.set_wall_clock_offset_ms(-HOUR_MS).expect("a step");
-    let _relay = fixture.relay_with_faults(&faults);
-    until("all notifications", || fixture.platform.notifications().len() >= accepted.len());
+    faults.set_wall_clock_offset_ms(-HOUR_MS).expect("step the clock");
+    let _relay = fixture.start_relay_with_faults(&faults);
+    wait_until("all notifications", || fixture.platform.notifications().len() >= accepted.len());
 }
 
-// The note of which Unix time belongs to which monotonic reading holds for one boot. Where its id can't be read for a
-// moment, the note must not be taken for that of another boot. Found by the soak (seed 3, 40 s).
+// The clock file relates Unix time to the monotonic clock and is valid for one boot. If the boot id can't be read for a
+// moment, the relay must not treat the file as that of another boot.
 #[test]
-fn a_wall_clock_step_before_a_start_that_cannot_read_at_first_ends_no_message_early() {
-    let (well, endpoint) = busy_until_told();
+fn wall_clock_step_before_a_start_with_failing_reads_ends_no_message_early() {
+    let (is_available, endpoint) = endpoint_rejecting_until_set();
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let faults = fixture.faults();
-    let relay = fixture.relay_with_faults(&faults);
+    let faults = fixture.fault_control();
+    let relay = fixture.start_relay_with_faults(&faults);
     let accepted = submit_all(&relay, (0..30).map(|n| format!("m{n}")), "c=any,d=15000,dest=7");
     relay.signal("KILL");
     drop(relay);
-    faults.set_wall_clock_offset_ms(HOUR_MS).expect("a step");
-    // Nine of ten reads fail, so the first one of each file does; the draws of the shim are the same in each run.
-    let mostly = CallFault { errno: libc::EIO, fail_rate: FULL_RATE * 9 / 10, ..CallFault::default() };
-    faults.set_call_fault(SystemCall::FileRead, mostly).expect("a fault");
-    well.store(true, Ordering::SeqCst);
+    faults.set_wall_clock_offset_ms(HOUR_MS).expect("step the clock");
+    // Nine of ten reads fail, including the first one of each file; the shim's random draws are the same in each run.
+    let most_reads_fail =
+        CallFault { errno: libc::EIO, fail_rate: FULL_RATE * 9 / 10, ..CallFault::default() };
+    faults.set_call_fault(SystemCall::FileRead, most_reads_fail).expect("a fault");
+    is_available.store(true, Ordering::SeqCst);
     let calls_before = endpoint.ids().len();
-    let _relay = fixture.relay_with_faults(&faults);
+    let _relay = fixture.start_relay_with_faults(&faults);
     faults.set_call_fault(SystemCall::FileRead, CallFault::default()).expect("no fault");
-    until("all messages", || {
+    wait_until("all messages", || {
         let later: BTreeSet<String> = endpoint.ids().split_off(calls_before).into_iter().collect();
         later == accepted
     });
     assert!(fixture.platform.notifications().is_empty(), "{:?}", fixture.platform.notifications());
 }
 
-/// Half of the writes are cut in half, the others fail; what was written can't be cut off again.
+/// Makes half of the writes short and the others fail; truncation, which would remove partial records, fails too.
 fn break_writes(faults: &FaultControl) {
     let write = CallFault { errno: libc::ENOSPC, fail_rate: FULL_RATE, short_rate: 500, kill_rate: 0 };
     faults.set_call_fault(SystemCall::FileTruncate, CallFault::always(libc::EIO)).expect("a fault");
@@ -112,213 +114,218 @@
     faults.set_call_fault(SystemCall::FileWrite, write).expect("a fault");
 }
 
-fn mend_files(faults: &FaultControl) {
+/// Ends the faults set by [`break_writes`].
+fn repair_writes(faults: &FaultControl) {
     for call in [SystemCall::FileWrite, SystemCall::FileTruncate, SystemCall::FileRename] {
         faults.set_call_fault(call, CallFault::default()).expect("no fault");
     }
 }
 
 #[test]
-fn exactly_what_was_accepted_survives_writes_that_were_cut_short() {
-    let (well, endpoint) = busy_until_told();
+fn exactly_the_accepted_messages_survive_short_writes() {
+    let (is_available, endpoint) = endpoint_rejecting_until_set();
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let faults = fixture.faults();
-    let relay = fixture.relay_with_faults(&faults);
-    let list = "c=any,d=20000,dest=7";
-    let mut accepted = submit_all(&relay, (0..10).map(|n| format!("before{n}")), list);
+    let faults = fixture.fault_control();
+    let relay = fixture.start_relay_with_faults(&faults);
+    let parameters = "c=any,d=20000,dest=7";
+    let mut accepted = submit_all(&relay, (0..10).map(|n| format!("before{n}")), parameters);
     break_writes(&faults);
-    accepted.extend(submit_all(&relay, (0..10).map(|n| format!("during{n}")), list));
-    mend_files(&faults);
-    accepted.extend(submit_all(&relay, (0..30).map(|n| format!("after{n}")), list));
+    accepted.extend(submit_all(&relay, (0..10).map(|n| format!("during{n}")), parameters));
+    repair_writes(&faults);
+    accepted.extend(submit_all(&relay, (0..30).map(|n| format!("after{n}")), parameters));
     assert!(faults.injected(SystemCall::FileWrite).expect("a count") > 0);
     assert!(accepted.len() >= 40, "{accepted:?}");
     relay.signal("KILL");
     drop(relay);
-    well.store(true, Ordering::SeqCst);
+    is_available.store(true, Ordering::SeqCst);
     let calls_before = endpoint.ids().len();
-    let _relay = fixture.relay_with_faults(&faults);
+    let _relay = fixture.start_relay_with_faults(&faults);
     let later = || -> BTreeSet<String> { endpoint.ids().split_off(calls_before).into_iter().collect() };
-    until("what was accepted", || later().is_superset(&accepted));
-    assert_eq!(later(), accepted, "only what was accepted is sent");
-    assert!(delivered(&endpoint).is_superset(&accepted));
+    wait_until("the accepted messages", || later().is_superset(&accepted));
+    assert_eq!(later(), accepted, "only accepted messages are sent");
+    assert!(received_ids(&endpoint).is_superset(&accepted));
 }
 
 #[test]
-fn a_client_that_ends_its_sending_gets_its_answer_whenever_it_does() {
+fn client_that_half_closes_at_any_time_gets_its_reply() {
     let endpoint = Server::start(|_| ok());
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     let mut unanswered = Vec::new();
     for n in 0..60 {
         let mut client = relay.client();
-        client.say(&submit_request(&format!("m{n}"), 0, "c=any,d=8000,dest=7", b"x"));
-        // At any moment of the way of a request: read, submitted, decided on, answered.
+        client.send(&submit_request(&format!("m{n}"), 0, "c=any,d=8000,dest=7", b"x"));
+        // The delays cover all stages of a request: read, submitted, decided, answered.
         std::thread::sleep(std::time::Duration::from_micros(150 * n));
-        client.0.get_ref().shutdown(Shutdown::Write).expect("an end");
-        let answer = client.hear();
-        if answer != "+OK" && !answer.starts_with("-BUSY") {
-            unanswered.push((n, answer));
+        client.0.get_ref().shutdown(Shutdown::Write).expect("half-closed");
+        let reply = client.read_reply();
+        if reply != "+OK" && !reply.starts_with("-BUSY") {
+            unanswered.push((n, reply));
         }
     }
     assert!(unanswered.is_empty(), "{unanswered:?}");
 }
 
 #[test]
-fn connections_that_fail_for_a_shortage_of_this_machine_open_no_breaker() {
+fn local_descriptor_shortage_opens_no_breaker() {
     let endpoint = Server::start(|_| ok());
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     let mut client = relay.client();
-    assert_eq!(client.ask(b"*1\r\n$4\r\nPING\r\n"), "+PONG");
-    let limit_before = relay.limit_descriptors(Some(relay.first_free_descriptor()));
-    // At most eight attempts are allowed, and a message that must not run twice has to outlast them.
-    assert_eq!(client.ask(&submit_request("once", 0, "c=once,d=15000,dest=7", b"x")), "+OK");
-    assert_eq!(client.ask(&submit_request("any", 0, "c=any,d=15000,dest=7", b"x")), "+OK");
-    until("tries", || fixture.log().matches("connection to endpoint e1 not made").count() >= 20);
+    assert_eq!(client.request(b"*1\r\n$4\r\nPING\r\n"), "+PONG");
+    let limit_before = relay.set_descriptor_limit(Some(relay.first_free_descriptor()));
+    // More failures than the eight attempts allowed per message; even the non-idempotent message must outlast them.
+    assert_eq!(client.request(&submit_request("once", 0, "c=once,d=15000,dest=7", b"x")), "+OK");
+    assert_eq!(client.request(&submit_request("any", 0, "c=any,d=15000,dest=7", b"x")), "+OK");
+    wait_until("failed connects", || {
+        fixture.log().matches("connection to endpoint e1 not made").count() >= 20
+    });
     assert!(endpoint.ids().is_empty());
-    relay.limit_descriptors(limit_before);
-    until_within(ms(1_000), "both calls, as the destination is not to blame", || endpoint.ids().len() == 2);
+    relay.set_descriptor_limit(limit_before);
+    wait_until_within(ms(1_000), "both calls, as the failures are local", || endpoint.ids().len() == 2);
     assert!(fixture.platform.notifications().is_empty());
 }
 
 #[test]
-fn attempts_that_cannot_be_recorded_use_up_no_message() {
+fn attempts_that_cannot_be_recorded_do_not_end_a_message() {
     let endpoint = Server::start(|_| ok());
-    let (gate, slow) = gate::gated(ok);
+    let (gate, slow) = gate::gated_server(ok);
     let fixture = fixture(
         0,
         vec![member("e1", endpoint.address, 7, "single"), member("e2", slow.address, 8, "single")],
     );
-    let faults = fixture.faults();
-    let relay = fixture.relay_with_faults(&faults);
-    // The second message of the key waits until the first has its answer; by then nothing can be recorded.
+    let faults = fixture.fault_control();
+    let relay = fixture.start_relay_with_faults(&faults);
+    // The second message of the key waits for the response to the first one; by then no attempt can be recorded.
     assert_eq!(relay.submit("pay1", 5, "c=pay,d=15000,dest=8", b"x"), "+OK");
     gate.wait_for_arrivals(1);
     assert_eq!(relay.submit("pay2", 5, "c=pay,d=15000,dest=7", b"x"), "+OK");
     break_writes(&faults);
     gate.open();
-    until("tries", || faults.injected(SystemCall::FileTruncate).expect("a count") >= 40);
-    assert!(endpoint.ids().is_empty(), "an attempt that may run once is not sent unrecorded");
-    mend_files(&faults);
-    until_within(ms(2_000), "the second message", || endpoint.ids() == ["pay2"]);
+    wait_until("failed connects", || faults.injected(SystemCall::FileTruncate).expect("a count") >= 40);
+    assert!(endpoint.ids().is_empty(), "a non-idempotent message must not be sent unrecorded");
+    repair_writes(&faults);
+    wait_until_within(ms(2_000), "the second message", || endpoint.ids() == ["pay2"]);
     assert!(fixture.platform.notifications().is_empty());
 }
 
 #[test_case(libc::EINTR; "interrupted")]
 #[test_case(libc::ENOBUFS; "no buffers")]
 #[test_case(libc::ENOMEM; "no memory")]
-fn sends_and_receives_that_fail_for_a_moment_cost_no_answer_and_no_attempt(errno: i32) {
+fn transient_send_and_receive_errors_cost_no_reply_and_no_attempt(errno: i32) {
     let endpoint = Server::start(|_| ok());
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let faults = fixture.faults();
-    let relay = fixture.relay_with_faults(&faults);
-    let at_times = CallFault { errno, fail_rate: FULL_RATE / 3, ..CallFault::default() };
-    faults.set_call_fault(SystemCall::Send, at_times).expect("a fault");
-    faults.set_call_fault(SystemCall::Receive, at_times).expect("a fault");
+    let faults = fixture.fault_control();
+    let relay = fixture.start_relay_with_faults(&faults);
+    let transient = CallFault { errno, fail_rate: FULL_RATE / 3, ..CallFault::default() };
+    faults.set_call_fault(SystemCall::Send, transient).expect("a fault");
+    faults.set_call_fault(SystemCall::Receive, transient).expect("a fault");
     let ids: BTreeSet<String> = (0..40).map(|n| format!("m{n}")).collect();
     for id in &ids {
         assert_eq!(relay.submit(id, 0, "c=once,d=15000,dest=7", b"x"), "+OK", "{id}");
     }
-    until("all messages", || delivered(&endpoint) == ids);
-    assert_eq!(endpoint.ids().len(), ids.len(), "each once");
+    wait_until("all messages", || received_ids(&endpoint) == ids);
+    assert_eq!(endpoint.ids().len(), ids.len(), "each message is sent once");
     assert!(fixture.platform.notifications().is_empty(), "{:?}", fixture.platform.notifications());
-    assert!(!fixture.log().contains("Closed -> Open"), "no breaker opens");
+    assert!(!fixture.log().contains("Closed -> Open"), "no breaker may open");
     assert!(faults.injected(SystemCall::Send).expect("a count") > 10);
 }
 
-// A configuration that can't be read for a moment after SIGHUP: nobody sends a second SIGHUP for it, and what discovery
-// tells at its new address would never be heard.
+// A configuration that can't be read for a moment after SIGHUP: no second SIGHUP follows, so without a retry the relay would
+// never poll discovery at its new address.
 #[test]
-fn a_new_configuration_that_cannot_be_read_for_a_moment_is_used() {
+fn reload_survives_transient_read_errors() {
     let endpoint = Server::start(|_| ok());
     let members = vec![member("e1", endpoint.address, 7, "single")];
     let fixture = fixture(0, members.clone());
-    let faults = fixture.faults();
-    let relay = fixture.relay_with_faults(&faults);
+    let faults = fixture.fault_control();
+    let relay = fixture.start_relay_with_faults(&faults);
     let next = Platform::start(0);
-    next.set(members);
-    fixture.write_discovery(next.server.address);
+    next.set_members(members);
+    fixture.write_discovery_address(next.server.address);
     faults.set_call_fault(SystemCall::FileRead, CallFault::always(libc::EIO)).expect("a fault");
     let failed_before = faults.injected(SystemCall::FileRead).expect("a count");
     relay.signal("HUP");
-    until("a read that fails", || faults.injected(SystemCall::FileRead).expect("a count") > failed_before);
+    wait_until("a read that fails", || {
+        faults.injected(SystemCall::FileRead).expect("a count") > failed_before
+    });
     faults.set_call_fault(SystemCall::FileRead, CallFault::default()).expect("no fault");
-    until_within(ms(3_000), "discovery to be asked at its new address", || {
+    wait_until_within(ms(3_000), "discovery to be polled at its new address", || {
         !next.server.requests().is_empty()
     });
 }
 
-// While the note that dates stored times can't be written nothing is accepted. What is rejected for that must not stand in
-// the log: the removal comes a step later, and a kill before it.
+// The relay accepts no message while it can't write the clock file. Guards against a rejected message that is already in the
+// spool log: its removal is due one decision interval later, and a kill before that would restore it.
 #[test]
-fn what_is_rejected_for_want_of_the_time_anchor_does_not_come_back() {
+fn message_rejected_over_an_unwritable_clock_file_is_not_restored() {
     let endpoint = Server::start(|_| ok());
     let mut fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    // Microseconds between two steps: time for a kill.
+    // Decision interval in microseconds, long enough for the kill.
     fixture.config["settings"]["quantum"] = 500_000.into();
-    let in_the_way = fixture.dir.path().join("state/clock.new");
-    std::fs::create_dir_all(&in_the_way).expect("a folder");
-    let relay = fixture.relay();
+    let blocking_folder = fixture.dir.path().join("state/clock.new");
+    std::fs::create_dir_all(&blocking_folder).expect("a folder");
+    let relay = fixture.start_relay();
     assert_eq!(relay.submit("m1", 0, "c=any,d=15000,dest=7", b"x"), "-BUSY");
     relay.signal("KILL");
     drop(relay);
-    std::fs::remove_dir(&in_the_way).expect("no folder");
-    let relay = fixture.relay();
+    std::fs::remove_dir(&blocking_folder).expect("no folder");
+    let relay = fixture.start_relay();
     assert_eq!(relay.submit("m2", 0, "c=any,d=15000,dest=7", b"x"), "+OK");
-    until("the second message", || delivered(&endpoint).contains("m2"));
+    wait_until("the second message", || received_ids(&endpoint).contains("m2"));
     assert_eq!(endpoint.ids(), ["m2"]);
 }
 
-/// Nothing in the state folder can be opened.
-fn close_folder(faults: &FaultControl) {
+/// Makes every open of a file fail.
+fn break_opens(faults: &FaultControl) {
     faults.set_call_fault(SystemCall::FileOpen, CallFault::always(libc::EIO)).expect("a fault");
 }
 
-// A process that gives a folder up that fails for a while has not started at all, and nobody starts it again.
+// A process that exits over a state folder that fails for a while would not be started again.
 #[test]
-fn a_start_waits_out_a_folder_that_fails_for_some_seconds() {
+fn start_waits_for_a_state_folder_that_fails_for_some_seconds() {
     let endpoint = Server::start(|_| ok());
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let faults = fixture.faults();
-    close_folder(&faults);
-    let mut relay = Relay::begin_with_faults(&fixture.config, fixture.dir.path(), &faults);
-    assert_eq!(relay.code_within(ms(7_500)), None, "{}", fixture.log());
+    let faults = fixture.fault_control();
+    break_opens(&faults);
+    let mut relay = Relay::spawn_with_faults(&fixture.config, fixture.dir.path(), &faults);
+    assert_eq!(relay.exit_code_within(ms(7_500)), None, "{}", fixture.log());
     faults.set_call_fault(SystemCall::FileOpen, CallFault::default()).expect("no fault");
-    assert_eq!(relay.client().ask(b"*1\r\n$4\r\nPING\r\n"), "+PONG");
+    assert_eq!(relay.client().request(b"*1\r\n$4\r\nPING\r\n"), "+PONG");
     assert_eq!(relay.submit("m1", 0, "c=any,d=8000,dest=7", b"x"), "+OK");
-    until("the call", || endpoint.ids() == ["m1"]);
+    wait_until("the call", || endpoint.ids() == ["m1"]);
 }
 
 #[test]
-fn a_start_that_waits_for_its_folder_hears_a_stop() {
+fn start_that_waits_for_its_state_folder_obeys_sigterm() {
     let fixture = fixture(0, vec![unreachable_endpoint()]);
-    let faults = fixture.faults();
-    close_folder(&faults);
-    let mut relay = Relay::begin_with_faults(&fixture.config, fixture.dir.path(), &faults);
-    until("the start to wait", || faults.injected(SystemCall::FileOpen).expect("a count") > 3);
+    let faults = fixture.fault_control();
+    break_opens(&faults);
+    let mut relay = Relay::spawn_with_faults(&fixture.config, fixture.dir.path(), &faults);
+    wait_until("the start to wait", || faults.injected(SystemCall::FileOpen).expect("a count") > 3);
     relay.signal("TERM");
-    assert_eq!(relay.code_within(ms(3_600)), Some(0), "{}", fixture.log());
+    assert_eq!(relay.exit_code_within(ms(3_600)), Some(0), "{}", fixture.log());
 }
 
-// The disk holds the process up between its decision and the first byte: what was told meanwhile binds all the same. The
-// first write records the message, the second one its attempt.
-#[test_case(1; "as the message is recorded")]
-#[test_case(2; "as its attempt is recorded")]
-fn a_drain_told_while_a_write_is_held_up_binds(held_write: u64) {
-    let [leaving, other] = [(); 2].map(|()| Server::start(|_| ok()));
-    let fixture = fixture(0, vec![member("e1", leaving.address, 7, "single")]);
-    let faults = fixture.faults();
-    let relay = fixture.relay_with_faults(&faults);
-    until("the list", || fixture.log().contains("list 2:"));
-    faults.set_file_hold(ms(700)).expect("a hold");
+// A slow disk delays the process between its decision and the first byte of the call: a drain reported meanwhile is binding.
+// The first write records the message, the second one its attempt.
+#[test_case(1; "recording the message")]
+#[test_case(2; "recording the attempt")]
+fn drain_reported_during_a_delayed_write_is_obeyed(delayed_write: u64) {
+    let [draining, other] = [(); 2].map(|()| Server::start(|_| ok()));
+    let fixture = fixture(0, vec![member("e1", draining.address, 7, "single")]);
+    let faults = fixture.fault_control();
+    let relay = fixture.start_relay_with_faults(&faults);
+    wait_until("the list", || fixture.log().contains("list 2:"));
+    faults.set_file_hold(ms(700)).expect("set the delay");
     let mut client = relay.client();
-    client.say(&submit_request("m1", 0, "c=once,d=15000,dest=7", b"x"));
-    until("the write", || faults.file_holds().expect("a count") >= held_write);
-    let mut draining = member("e1", leaving.address, 7, "single");
-    draining["phase"] = "Terminating".into();
-    fixture.platform.set(vec![draining, member("e2", other.address, 7, "single")]);
-    faults.set_file_hold(ms(0)).expect("no hold");
-    assert_eq!(client.hear(), "+OK");
-    until("the call elsewhere", || other.ids() == ["m1"]);
-    assert!(leaving.ids().is_empty(), "sent though its endpoint was told to be draining");
+    client.send(&submit_request("m1", 0, "c=once,d=15000,dest=7", b"x"));
+    wait_until("the write", || faults.file_holds().expect("a count") >= delayed_write);
+    let mut draining_entry = member("e1", draining.address, 7, "single");
+    draining_entry["phase"] = "Terminating".into();
+    fixture.platform.set_members(vec![draining_entry, member("e2", other.address, 7, "single")]);
+    faults.set_file_hold(ms(0)).expect("end the delay");
+    assert_eq!(client.read_reply(), "+OK");
+    wait_until("the call elsewhere", || other.ids() == ["m1"]);
+    assert!(draining.ids().is_empty(), "sent though its endpoint was reported as draining");
 }
--- a/crates/relay/tests/handover/under_load.rs
+++ b/crates/relay/tests/handover/under_load.rs
@@ -1,4 +1,4 @@
-//! Upgrades under load, each process told to stop at a point drawn from a seed.
+//! Upgrades under load, with stop signals at times drawn from a seed.
 
 use crate::process::*;
 use crate::support::{client::*, discovery::*, process::config, server::*, *};
@@ -12,30 +12,31 @@
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
 
-/// What clients heard, by id: `+OK` or not, and for each key the ids in the order they were accepted.
+/// Replies that clients received, by message id.
 #[derive(Default)]
-struct Heard {
-    taken: Vec<String>,
-    /// When the client heard so, by id.
-    taken_at: BTreeMap<String, Instant>,
-    refused: Vec<String>,
-    keys: BTreeMap<u64, Vec<String>>,
-    /// Connections that ended with a request unanswered; it went again on a new one.
-    again: usize,
+struct ClientReplies {
+    accepted: Vec<String>,
+    /// Time of the `+OK`.
+    accepted_at: BTreeMap<String, Instant>,
+    rejected: Vec<String>,
+    /// Accepted ids of each key in the order of their acceptance.
+    accepted_by_key: BTreeMap<u64, Vec<String>>,
+    /// Number of requests sent again after their connection was closed without a reply.
+    resent: usize,
 }
 
-/// How long each message of `client` may take from its submission to its final answer ...
+/// Time from the submission of each message to its deadline.
 pub(crate) const TIME_TO_DEADLINE: Duration = Duration::from_secs(15);
-/// ... and what the notification of an end may take beyond that.
+/// Time that the notification of an end may take beyond the deadline.
 const NOTIFICATION_SLACK: Duration = Duration::from_secs(1);
 
-/// A client that submits messages of one key, each once the one before is accepted, over connections it
-/// keeps; a request whose connection ends unanswered is sent once more on a new connection.
-fn client(
-    at: SocketAddr,
+/// Starts a client that submits messages of one key over a persistent connection, each after the reply to the previous
+/// one. A request whose connection is closed without a reply is sent again on a new connection.
+fn run_client(
+    address: SocketAddr,
     key: u64,
     stop: Arc<AtomicBool>,
-    heard: Arc<Mutex<Heard>>,
+    replies: Arc<Mutex<ClientReplies>>,
 ) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         let (mut n, mut connection): (u64, Option<Client>) = (0, None);
@@ -48,11 +49,11 @@
                 &format!("c={class},d={},dest=7", TIME_TO_DEADLINE.as_millis()),
                 b"x",
             );
-            let answer = loop {
+            let reply = loop {
                 let mut c = match connection.take() {
                     Some(c) => c,
                     None => {
-                        if let Ok(stream) = TcpStream::connect(at) {
+                        if let Ok(stream) = TcpStream::connect(address) {
                             stream.set_read_timeout(Some(ms(3_000))).expect("a time-out");
                             Client(std::io::BufReader::new(stream))
                         } else {
@@ -62,84 +63,84 @@
                     }
                 };
                 let _ = c.0.get_mut().write_all(&request);
-                let line = c.hear();
+                let line = c.read_reply();
                 if line.is_empty() {
-                    heard.lock().expect("heard").again += 1;
+                    replies.lock().expect("lock the replies").resent += 1;
                     continue;
                 }
                 connection = Some(c);
                 break line;
             };
-            let mut heard = heard.lock().expect("heard");
-            if answer == "+OK" {
-                heard.taken.push(id.clone());
-                heard.taken_at.insert(id.clone(), Instant::now());
-                heard.keys.entry(key).or_default().push(id);
+            let mut replies = replies.lock().expect("lock the replies");
+            if reply == "+OK" {
+                replies.accepted.push(id.clone());
+                replies.accepted_at.insert(id.clone(), Instant::now());
+                replies.accepted_by_key.entry(key).or_default().push(id);
             } else {
-                heard.refused.push(id);
-                drop(heard);
+                replies.rejected.push(id);
+                drop(replies);
                 sleep(ms(20));
             }
         }
     })
 }
 
-/// How often each message was sent, and how often the platform was notified of its end, by id.
-struct Ends {
+/// Numbers of sends and of notifications of ends, by message id.
+struct MessageCounts {
     sent: BTreeMap<String, usize>,
     notified: BTreeMap<String, usize>,
 }
 
-impl Ends {
-    /// Counts all of them in one pass: a pass for each of thousands of messages takes longer than a busy machine has.
-    fn count(endpoint: &Server, platform: &Platform) -> Ends {
-        let mut ends = Ends { sent: BTreeMap::new(), notified: BTreeMap::new() };
+impl MessageCounts {
+    /// Counts all messages in one pass; a separate pass for each of thousands of messages takes too long on a busy machine.
+    fn count(endpoint: &Server, platform: &Platform) -> MessageCounts {
+        let mut counts = MessageCounts { sent: BTreeMap::new(), notified: BTreeMap::new() };
         for id in endpoint.ids() {
-            *ends.sent.entry(id).or_default() += 1;
+            *counts.sent.entry(id).or_default() += 1;
         }
         for notification in platform.notifications() {
             let notification: Value = serde_json::from_str(&notification).expect("a notification in JSON");
-            let id = notification["id"].as_str().expect("a notification names its message").to_string();
-            *ends.notified.entry(id).or_default() += 1;
+            let id = notification["id"].as_str().expect("a notification with a message id").to_string();
+            *counts.notified.entry(id).or_default() += 1;
         }
-        ends
+        counts
     }
 
-    /// How often the message was sent, and how often notified.
+    /// Returns the number of sends and the number of notifications of a message.
     fn of(&self, id: &str) -> (usize, usize) {
         let count = |counts: &BTreeMap<String, usize>| counts.get(id).copied().unwrap_or(0);
         (count(&self.sent), count(&self.notified))
     }
 }
 
-/// Plays upgrades under load with stops at points drawn from `seed`; checks what the endpoint and the
-/// platform got against what clients heard.
-fn upgrades_under_load(seed: u64) {
-    let endpoint = Server::start(|_| ServerAction::Say(answer_text(200), ms(15)));
+/// Runs upgrades under load with stop signals at times drawn from `seed`. Checks the requests at the endpoint and the
+/// notifications at the platform against the replies that clients received.
+fn run_upgrades_under_load(seed: u64) {
+    let endpoint = Server::start(|_| ServerAction::Respond(response_text(200), ms(15)));
     let platform = Platform::start(0);
-    let (socket, at) = platform_socket();
+    let (socket, listen) = platform_socket();
     let members = vec![member("e1", endpoint.address, 7, "single")];
-    let config = config(at, platform.server.address, &members);
-    platform.set(members);
+    let config = config(listen, platform.server.address, &members);
+    platform.set_members(members);
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::create_dir_all(dir.path().join("state")).expect("a folder");
     let fd = socket.as_raw_fd();
     let mut running = Process::start(&config, dir.path(), fd, 0);
-    until("the first process", || running.says_yes());
-    let (stop, heard) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Heard::default())));
-    let clients: Vec<_> = (1..=4).map(|key| client(at, key, stop.clone(), heard.clone())).collect();
-    let mut chance = seed;
-    let mut draw = |most: u64| {
-        chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (chance >> 33) % most
+    wait_until("the first process", || running.is_ready());
+    let (stop, replies) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(ClientReplies::default())));
+    let clients: Vec<_> = (1..=4).map(|key| run_client(listen, key, stop.clone(), replies.clone())).collect();
+    let mut random = seed;
+    let mut random_below = |bound: u64| {
+        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (random >> 33) % bound
     };
     for n in 1..=3 {
-        sleep(ms(300 + draw(400)));
+        sleep(ms(300 + random_below(400)));
         let next = Process::start(&config, dir.path(), fd, n);
-        until("the process beside it", || next.says_yes());
-        sleep(ms(draw(150)));
-        running.term();
-        assert!(running.ended_within(ms(3_600)), "the old process ends before its SIGKILL");
+        wait_until("the successor", || next.is_ready());
+        sleep(ms(random_below(150)));
+        running.terminate();
+        assert!(running.exits_within(ms(3_600)), "the old process must exit before its SIGKILL");
         running = next;
     }
     sleep(ms(400));
@@ -147,46 +148,46 @@
     for client in clients {
         client.join().expect("a client");
     }
-    let heard = heard.lock().expect("heard");
-    // Rule 1 gives each message its time and no more; how many are queued here depends on how fast the machine is.
-    until_within(TIME_TO_DEADLINE + NOTIFICATION_SLACK, "every message accepted to end", || {
-        let ends = Ends::count(&endpoint, &platform);
-        heard.taken.iter().all(|id| ends.of(id) != (0, 0))
+    let seen = replies.lock().expect("lock the replies");
+    // Each message ends by its deadline; the number of queued messages depends on the speed of the machine.
+    wait_until_within(TIME_TO_DEADLINE + NOTIFICATION_SLACK, "every message accepted to end", || {
+        let counts = MessageCounts::count(&endpoint, &platform);
+        seen.accepted.iter().all(|id| counts.of(id) != (0, 0))
     });
-    let ends = Ends::count(&endpoint, &platform);
+    let counts = MessageCounts::count(&endpoint, &platform);
     let log = std::fs::read_to_string(dir.path().join("log")).unwrap_or_default();
-    assert!(heard.taken.len() > 100, "{} taken, {} refused", heard.taken.len(), heard.refused.len());
+    assert!(seen.accepted.len() > 100, "{} accepted, {} rejected", seen.accepted.len(), seen.rejected.len());
     assert_eq!(log.matches("told to stop, with a process beside it").count(), 3, "{log}");
     let sent = endpoint.ids();
-    for id in &heard.taken {
-        // Rule 2: never twice, and one end each (rule 1).
-        assert!(matches!(ends.of(id), (1, 0) | (0, 1)), "{id}: {:?}", ends.of(id));
+    for id in &seen.accepted {
+        // Each accepted message is sent at most once and ends exactly once.
+        assert!(matches!(counts.of(id), (1, 0) | (0, 1)), "{id}: {:?}", counts.of(id));
     }
-    // Rule 1: nothing is sent behind the deadline, which counts from before the client heard `+OK`.
+    // No message is sent after its deadline, which is counted from before the client received `+OK`.
     for request in endpoint.requests() {
         for id in request.ids() {
-            let Some(taken_at) = heard.taken_at.get(&id) else { continue };
-            assert!(request.at <= *taken_at + TIME_TO_DEADLINE, "{id} was sent behind its deadline");
+            let Some(accepted_at) = seen.accepted_at.get(&id) else { continue };
+            assert!(request.at <= *accepted_at + TIME_TO_DEADLINE, "{id} was sent after its deadline");
         }
     }
-    for id in &heard.refused {
-        assert!(!sent.contains(id), "{id} was rejected, yet sent");
+    for id in &seen.rejected {
+        assert!(!sent.contains(id), "{id} was rejected but sent");
     }
-    // Rule 5: each key's messages went out in the order they were accepted (even keys are of a class in order).
-    for (key, ids) in heard.keys.iter().filter(|(key, _)| key.is_multiple_of(2)) {
-        let order: Vec<&String> = sent.iter().filter(|id| ids.contains(id)).collect();
-        let wanted: Vec<&String> = ids.iter().filter(|id| order.contains(id)).collect();
-        assert_eq!(order, wanted, "key {key}");
+    // The messages of each key are sent in the order of their acceptance (even keys use an ordered class).
+    for (key, ids) in seen.accepted_by_key.iter().filter(|(key, _)| key.is_multiple_of(2)) {
+        let sent_ids: Vec<&String> = sent.iter().filter(|id| ids.contains(id)).collect();
+        let expected: Vec<&String> = ids.iter().filter(|id| sent_ids.contains(id)).collect();
+        assert_eq!(sent_ids, expected, "key {key}");
     }
 }
 
-fn answer_text(status: u16) -> String {
+fn response_text(status: u16) -> String {
     format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n")
 }
 
 #[test]
-fn upgrades_under_load_lose_nothing_and_send_nothing_twice() {
+fn upgrades_under_load_lose_and_duplicate_no_message() {
     for seed in [3, 11] {
-        upgrades_under_load(seed);
+        run_upgrades_under_load(seed);
     }
 }
--- a/crates/relay/tests/handover/upgrade.rs
+++ b/crates/relay/tests/handover/upgrade.rs
@@ -1,4 +1,4 @@
-//! A relay whose processes are started by hand.
+//! Fixture of the upgrade tests: a relay whose processes a test starts one by one.
 
 use crate::process::*;
 use crate::support::{client::*, discovery::*, gate::*, process::*, server::*, *};
@@ -8,66 +8,75 @@
 use std::net::{SocketAddr, TcpStream};
 use std::os::fd::AsRawFd;
 
-/// A relay's folder, platform and listening socket, for processes that are started by hand; its endpoint holds every
-/// call at a gate.
-pub(crate) struct Upgrade {
+/// Folder, platform and listening socket of a relay whose processes a test starts. The endpoint holds every call at a
+/// gate.
+pub(crate) struct UpgradeFixture {
     pub(crate) gate: Gate,
     pub(crate) endpoint: Server,
     pub(crate) platform: Platform,
     pub(crate) config: Value,
     pub(crate) dir: tempfile::TempDir,
     pub(crate) socket: socket2::Socket,
-    pub(crate) at: SocketAddr,
+    pub(crate) listen: SocketAddr,
 }
 
-pub(crate) fn upgrade() -> Upgrade {
-    upgrade_with(0, 200)
+/// Returns a fixture whose endpoint responds with 200 and whose platform accepts every notification.
+pub(crate) fn upgrade_fixture() -> UpgradeFixture {
+    upgrade_fixture_with(0, 200)
 }
 
-/// The platform refuses so many calls with notifications; the endpoint answers with this status.
-pub(crate) fn upgrade_with(refused: usize, status: u16) -> Upgrade {
-    let (gate, endpoint) = gated(move || answer(status, "", ""));
-    let platform = Platform::start(refused);
-    let (socket, at) = platform_socket();
+/// Returns a fixture whose platform rejects the first `rejected` calls with notifications and whose endpoint responds
+/// with `status`.
+pub(crate) fn upgrade_fixture_with(rejected: usize, status: u16) -> UpgradeFixture {
+    let (gate, endpoint) = gated_server(move || respond(status, "", ""));
+    let platform = Platform::start(rejected);
+    let (socket, listen) = platform_socket();
     let members = vec![member("e1", endpoint.address, 7, "single")];
-    let config = config(at, platform.server.address, &members);
-    platform.set(members);
+    let config = config(listen, platform.server.address, &members);
+    platform.set_members(members);
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::create_dir_all(dir.path().join("state")).expect("a folder");
-    Upgrade { gate, endpoint, platform, config, dir, socket, at }
+    UpgradeFixture { gate, endpoint, platform, config, dir, socket, listen }
 }
 
-impl Upgrade {
+impl UpgradeFixture {
+    /// Starts process `n` and waits until it is ready.
     pub(crate) fn start(&self, n: usize) -> Process {
         let process = Process::start(&self.config, self.dir.path(), self.socket.as_raw_fd(), n);
-        until("the process to say yes", || process.says_yes());
+        wait_until("the process to be ready", || process.is_ready());
         process
     }
 
-    /// A process whose system calls obey the control file.
+    /// Starts process `n`, whose system calls get the faults of the control file, and waits until it is ready.
     pub(crate) fn start_with_faults(&self, n: usize, faults: &FaultControl) -> Process {
         let environment = Relay::fault_environment(faults);
         let fd = self.socket.as_raw_fd();
-        let process = Process::start_in(&self.config, self.dir.path(), fd, n, &environment);
-        until("the process to say yes", || process.says_yes());
+        let process = Process::start_with_environment(&self.config, self.dir.path(), fd, n, &environment);
+        wait_until("the process to be ready", || process.is_ready());
         process
     }
 
+    /// Submits a message, which must be accepted.
     pub(crate) fn submit(&self, id: &str, key: u64, class: &str) {
-        assert_eq!(self.answer_to(id, key, class), "+OK");
+        assert_eq!(self.submit_reply(id, key, class), "+OK");
     }
 
-    pub(crate) fn answer_to(&self, id: &str, key: u64, class: &str) -> String {
-        let mut client = Client(std::io::BufReader::new(TcpStream::connect(self.at).expect("a connection")));
-        let list = format!("c={class},d={},dest=7", TIME_TO_DEADLINE.as_millis());
-        client.ask(&submit_request(id, key, &list, b"x"))
+    /// Submits a message and returns the reply.
+    pub(crate) fn submit_reply(&self, id: &str, key: u64, class: &str) -> String {
+        let mut client =
+            Client(std::io::BufReader::new(TcpStream::connect(self.listen).expect("a connection")));
+        let parameters = format!("c={class},d={},dest=7", TIME_TO_DEADLINE.as_millis());
+        client.request(&submit_request(id, key, &parameters, b"x"))
     }
 
     pub(crate) fn log(&self) -> String {
-        std::fs::read_to_string(self.dir.path().join("log")).expect("a log")
+        std::fs::read_to_string(self.dir.path().join("log")).expect("read the log")
     }
 
-    pub(crate) fn owns(&self, times: usize) {
-        until("the successor to own", || self.log().matches("owns the state folder now").count() == times);
+    /// Waits until successors have taken over the state folder `times` times since the first start.
+    pub(crate) fn wait_for_ownership(&self, times: usize) {
+        wait_until("the successor to own the state folder", || {
+            self.log().matches("owns the state folder now").count() == times
+        });
     }
 }
--- a/crates/relay/tests/operations.rs
+++ b/crates/relay/tests/operations.rs
@@ -1,4 +1,4 @@
-//! The second address and what its calls do, with the relay as a process against stand-ins on loopback.
+//! Admin requests of operators to a relay process that runs against stand-ins on loopback sockets.
 
 #[allow(dead_code)]
 mod support;
@@ -9,17 +9,17 @@
 use std::time::{Duration, Instant};
 use support::{discovery::*, process::*, server::*, *};
 
-/// Sends the bytes, then reads the answer to its end; the status code and how long it took.
-fn call_with(at: SocketAddr, bytes: &[u8]) -> (u16, Duration) {
+/// Sends the bytes and reads the whole response; returns its status code (0 if unreadable) and the time it took.
+fn status_and_time(address: SocketAddr, bytes: &[u8]) -> (u16, Duration) {
     let start = Instant::now();
-    let text = answer_to(at, bytes);
+    let text = response_to(address, bytes);
     let code = text.split(' ').nth(1).and_then(|c| c.parse().ok()).unwrap_or(0);
     (code, start.elapsed())
 }
 
-/// Sends the bytes; the whole answer.
-fn answer_to(at: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(at).expect("a connection");
+/// Sends the bytes and returns the whole response.
+fn response_to(address: SocketAddr, bytes: &[u8]) -> String {
+    let mut stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
     let _ = stream.write_all(bytes);
     let mut text = String::new();
@@ -27,113 +27,121 @@
     text
 }
 
-fn call(at: SocketAddr, method: &str, path: &str) -> u16 {
-    call_with(at, format!("{method} {path} HTTP/1.1\r\nHost: relay\r\n\r\n").as_bytes()).0
+/// Sends a request and returns the status code of the response.
+fn call(address: SocketAddr, method: &str, path: &str) -> u16 {
+    status_and_time(address, format!("{method} {path} HTTP/1.1\r\nHost: relay\r\n\r\n").as_bytes()).0
 }
 
-struct Ops {
+/// A stand-in platform, and the configuration and folder of a relay with an admin address.
+struct AdminFixture {
     dir: tempfile::TempDir,
     config: serde_json::Value,
-    mgmt: SocketAddr,
+    admin_address: SocketAddr,
     _platform: Platform,
 }
 
-fn ops(members: Vec<serde_json::Value>) -> Ops {
+fn admin_fixture(members: Vec<serde_json::Value>) -> AdminFixture {
     let platform = Platform::start(0);
     let mut config = config(free_address(), platform.server.address, &members);
-    let mgmt = free_address();
-    config["mgmt"] = json!(mgmt.to_string());
-    platform.set(members);
-    Ops { dir: tempfile::tempdir().expect("a folder"), config, mgmt, _platform: platform }
+    let admin_address = free_address();
+    config["mgmt"] = json!(admin_address.to_string());
+    platform.set_members(members);
+    AdminFixture { dir: tempfile::tempdir().expect("a folder"), config, admin_address, _platform: platform }
 }
 
 #[test]
-fn admin_requests_are_answered_at_once_and_bad_ones_with_a_4xx() {
-    let ops = ops(vec![member("e1", free_address(), 7, "single")]);
-    let _relay = Relay::start(&ops.config, ops.dir.path());
-    assert_eq!(call(ops.mgmt, "GET", "/status"), 200);
-    assert_eq!(call(ops.mgmt, "GET", "/nothing"), 404);
-    assert_eq!(call(ops.mgmt, "DELETE", "/standby"), 405);
-    assert_eq!(call(ops.mgmt, "POST", "/maintenance/enter?target=never-listed"), 404);
-    assert_eq!(call(ops.mgmt, "POST", "/maintenance/enter"), 400);
-    assert_eq!(call_with(ops.mgmt, b"\x16\x03\x01 not http\r\n\r\n").0, 400);
-    // Half a call, and nothing at all, are cut off within a second, whoever else waits meanwhile.
+fn admin_requests_are_answered_promptly_and_invalid_ones_with_a_4xx() {
+    let fixture = admin_fixture(vec![member("e1", free_address(), 7, "single")]);
+    let _relay = Relay::start(&fixture.config, fixture.dir.path());
+    assert_eq!(call(fixture.admin_address, "GET", "/status"), 200);
+    assert_eq!(call(fixture.admin_address, "GET", "/nothing"), 404);
+    assert_eq!(call(fixture.admin_address, "DELETE", "/standby"), 405);
+    assert_eq!(call(fixture.admin_address, "POST", "/maintenance/enter?target=never-listed"), 404);
+    assert_eq!(call(fixture.admin_address, "POST", "/maintenance/enter"), 400);
+    assert_eq!(status_and_time(fixture.admin_address, b"\x16\x03\x01 not http\r\n\r\n").0, 400);
+    // An incomplete request gets a 408 within a second, and silent connections delay no other request.
     let silent: Vec<TcpStream> =
-        (0..40).map(|_| TcpStream::connect(ops.mgmt).expect("a connection")).collect();
-    let (code, took) = call_with(ops.mgmt, b"GET /status HTTP/1.1\r\nHost:");
-    assert!(code == 408 && took < ms(1_000), "{code} after {took:?}");
-    let (code, took) = call_with(ops.mgmt, b"GET /status HTTP/1.1\r\n\r\n");
-    assert!(code == 200 && took < ms(1_000), "{code} after {took:?}");
+        (0..40).map(|_| TcpStream::connect(fixture.admin_address).expect("a connection")).collect();
+    let (status, elapsed) = status_and_time(fixture.admin_address, b"GET /status HTTP/1.1\r\nHost:");
+    assert!(status == 408 && elapsed < ms(1_000), "{status} after {elapsed:?}");
+    let (status, elapsed) = status_and_time(fixture.admin_address, b"GET /status HTTP/1.1\r\n\r\n");
+    assert!(status == 200 && elapsed < ms(1_000), "{status} after {elapsed:?}");
     drop(silent);
 }
 
 #[test]
-fn an_endpoint_in_maintenance_gets_no_calls_even_over_a_restart() {
-    let (one, two) = (Server::start(|_| answer(200, "", "")), Server::start(|_| answer(200, "", "")));
-    let ops = ops(vec![member("e1", one.address, 7, "single"), member("e2", two.address, 7, "single")]);
-    let mut relay = Relay::start(&ops.config, ops.dir.path());
-    assert_eq!(call(ops.mgmt, "POST", "/maintenance/enter?target=e1"), 200);
-    assert_eq!(call(ops.mgmt, "POST", "/maintenance/enter?target=e1"), 200);
-    // Past the drain's grace.
+fn endpoint_in_maintenance_gets_no_calls_across_a_restart() {
+    let (in_maintenance, other) =
+        (Server::start(|_| respond(200, "", "")), Server::start(|_| respond(200, "", "")));
+    let fixture = admin_fixture(vec![
+        member("e1", in_maintenance.address, 7, "single"),
+        member("e2", other.address, 7, "single"),
+    ]);
+    let mut relay = Relay::start(&fixture.config, fixture.dir.path());
+    assert_eq!(call(fixture.admin_address, "POST", "/maintenance/enter?target=e1"), 200);
+    assert_eq!(call(fixture.admin_address, "POST", "/maintenance/enter?target=e1"), 200);
+    // Longer than the drain grace.
     std::thread::sleep(ms(1_200));
-    let before = one.requests().len();
+    let before = in_maintenance.requests().len();
     for n in 0..12 {
         assert_eq!(relay.submit(&format!("a{n}"), 0, "c=any,d=8000,dest=7", b""), "+OK");
     }
-    until("the calls", || two.requests().len() >= 12);
-    assert_eq!(one.requests().len(), before);
-    // The ban outlives the process.
+    wait_until("the calls", || other.requests().len() >= 12);
+    assert_eq!(in_maintenance.requests().len(), before);
+    // Maintenance survives a restart.
     relay.signal("TERM");
-    assert_eq!(relay.code(), Some(0));
-    let relay = Relay::start(&ops.config, ops.dir.path());
+    assert_eq!(relay.wait_for_exit_code(), Some(0));
+    let relay = Relay::start(&fixture.config, fixture.dir.path());
     for n in 0..12 {
         assert_eq!(relay.submit(&format!("b{n}"), 0, "c=any,d=8000,dest=7", b""), "+OK");
     }
-    until("the calls", || two.requests().len() >= 24);
-    assert_eq!(one.requests().len(), before);
-    assert_eq!(call(ops.mgmt, "POST", "/maintenance/exit?target=e1"), 200);
+    wait_until("the calls", || other.requests().len() >= 24);
+    assert_eq!(in_maintenance.requests().len(), before);
+    assert_eq!(call(fixture.admin_address, "POST", "/maintenance/exit?target=e1"), 200);
     for n in 0..40 {
         relay.submit(&format!("c{n}"), 0, "c=any,d=8000,dest=7", b"");
     }
-    until("a call to the endpoint that is back", || one.requests().len() > before);
+    wait_until("a call to the endpoint after its maintenance", || in_maintenance.requests().len() > before);
 }
 
 #[test]
 fn standby_disconnects_clients_and_active_accepts_them_again() {
-    let ops = ops(vec![member("e1", free_address(), 7, "single")]);
-    let relay = Relay::start(&ops.config, ops.dir.path());
+    let fixture = admin_fixture(vec![member("e1", free_address(), 7, "single")]);
+    let relay = Relay::start(&fixture.config, fixture.dir.path());
     let mut idle = relay.client();
-    assert_eq!(call(ops.mgmt, "POST", "/standby"), 200);
-    assert_ne!(relay.client().ask(b"*1\r\n$4\r\nPING\r\n"), "+PONG");
-    // An idle connection is closed soon; the process stays and answers.
+    assert_eq!(call(fixture.admin_address, "POST", "/standby"), 200);
+    assert_ne!(relay.client().request(b"*1\r\n$4\r\nPING\r\n"), "+PONG");
+    // Standby closes idle connections, but the process keeps serving admin requests.
     let start = Instant::now();
-    assert_eq!(idle.hear(), "");
+    assert_eq!(idle.read_reply(), "");
     assert!(start.elapsed() < ms(2_000), "{:?}", start.elapsed());
-    assert_eq!(call(ops.mgmt, "GET", "/status"), 200);
-    assert_eq!(call(ops.mgmt, "POST", "/active"), 200);
-    assert_eq!(relay.client().ask(b"*1\r\n$4\r\nPING\r\n"), "+PONG");
+    assert_eq!(call(fixture.admin_address, "GET", "/status"), 200);
+    assert_eq!(call(fixture.admin_address, "POST", "/active"), 200);
+    assert_eq!(relay.client().request(b"*1\r\n$4\r\nPING\r\n"), "+PONG");
 }
 
 #[test]
-fn a_malformed_admin_address_is_one_line_and_exit_code_2() {
-    let mut ops = ops(vec![]);
-    ops.config["mgmt"] = json!("nowhere");
-    let file = ops.dir.path().join("config.json");
-    std::fs::write(&file, ops.config.to_string()).expect("a config");
-    let out = command(&file, ops.dir.path()).output().expect("a relay");
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert_eq!(out.status.code(), Some(2), "{said}");
-    assert!(said.lines().count() == 1 && said.contains("mgmt"), "{said}");
+fn malformed_admin_address_logs_one_line_and_exits_with_code_2() {
+    let mut fixture = admin_fixture(vec![]);
+    fixture.config["mgmt"] = json!("nowhere");
+    let file = fixture.dir.path().join("config.json");
+    std::fs::write(&file, fixture.config.to_string()).expect("a config");
+    let out = relay_command(&file, fixture.dir.path()).output().expect("a relay");
+    let text = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert_eq!(out.status.code(), Some(2), "{text}");
+    assert!(text.lines().count() == 1 && text.contains("mgmt"), "{text}");
 }
 
 #[test]
-fn an_admin_address_that_is_not_a_string_is_rejected() {
-    let mut ops = ops(vec![]);
-    ops.config["mgmt"] = json!(6379);
-    let file = ops.dir.path().join("config.json");
-    std::fs::write(&file, ops.config.to_string()).expect("a config");
-    let mut relay =
-        command(&file, ops.dir.path()).stderr(std::process::Stdio::null()).spawn().expect("a relay");
+fn non_string_admin_address_is_rejected() {
+    let mut fixture = admin_fixture(vec![]);
+    fixture.config["mgmt"] = json!(6379);
+    let file = fixture.dir.path().join("config.json");
+    std::fs::write(&file, fixture.config.to_string()).expect("a config");
+    let mut relay = relay_command(&file, fixture.dir.path())
+        .stderr(std::process::Stdio::null())
+        .spawn()
+        .expect("a relay");
     let start = Instant::now();
     let code = loop {
         if let Some(status) = relay.try_wait().expect("a state") {
@@ -146,54 +154,54 @@
         }
         std::thread::sleep(ms(10));
     };
-    assert_eq!(code, Some(2), "a relay that started without its second address");
+    assert_eq!(code, Some(2), "the relay must not start without its admin address");
 }
 
 #[test]
-fn an_endpoint_in_maintenance_beyond_the_drain_grace_serves_again_afterwards() {
-    let one = Server::start(|_| answer(200, "", ""));
-    let ops = ops(vec![member("e1", one.address, 7, "single")]);
-    let relay = Relay::start(&ops.config, ops.dir.path());
-    assert_eq!(call(ops.mgmt, "POST", "/maintenance/enter?target=e1"), 200);
-    // Past the drain's grace the decisions forget it: nothing is out to it and no rule needs it.
-    until("it is forgotten", || {
-        std::fs::read_to_string(ops.dir.path().join("log")).unwrap_or_default().contains("forgotten")
+fn endpoint_serves_again_after_maintenance_beyond_the_drain_grace() {
+    let endpoint = Server::start(|_| respond(200, "", ""));
+    let fixture = admin_fixture(vec![member("e1", endpoint.address, 7, "single")]);
+    let relay = Relay::start(&fixture.config, fixture.dir.path());
+    assert_eq!(call(fixture.admin_address, "POST", "/maintenance/enter?target=e1"), 200);
+    // After the drain grace the policy forgets the endpoint: it has no calls in flight, and no rule needs its state.
+    wait_until("the endpoint to be forgotten", || {
+        std::fs::read_to_string(fixture.dir.path().join("log")).unwrap_or_default().contains("forgotten")
     });
-    assert_eq!(call(ops.mgmt, "POST", "/maintenance/exit?target=e1"), 200);
+    assert_eq!(call(fixture.admin_address, "POST", "/maintenance/exit?target=e1"), 200);
     for n in 0..5 {
         assert_eq!(relay.submit(&format!("a{n}"), 0, "c=any,d=8000,dest=7", b""), "+OK");
     }
-    until("calls to the endpoint that is back", || one.requests().len() >= 5);
+    wait_until("calls to the endpoint after its maintenance", || endpoint.requests().len() >= 5);
 }
 
 #[test]
-fn an_endpoint_forgotten_in_maintenance_over_a_restart_serves_again_afterwards() {
-    let one = Server::start(|_| answer(200, "", ""));
-    let ops = ops(vec![member("e1", one.address, 7, "single")]);
-    let mut relay = Relay::start(&ops.config, ops.dir.path());
-    assert_eq!(call(ops.mgmt, "POST", "/maintenance/enter?target=e1"), 200);
+fn endpoint_serves_again_after_maintenance_across_a_restart() {
+    let endpoint = Server::start(|_| respond(200, "", ""));
+    let fixture = admin_fixture(vec![member("e1", endpoint.address, 7, "single")]);
+    let mut relay = Relay::start(&fixture.config, fixture.dir.path());
+    assert_eq!(call(fixture.admin_address, "POST", "/maintenance/enter?target=e1"), 200);
     relay.signal("TERM");
-    assert_eq!(relay.code(), Some(0));
-    let relay = Relay::start(&ops.config, ops.dir.path());
-    let forgotten = || std::fs::read_to_string(ops.dir.path().join("log")).unwrap_or_default();
-    until("it is forgotten", || forgotten().contains("forgotten while out by hand"));
+    assert_eq!(relay.wait_for_exit_code(), Some(0));
+    let relay = Relay::start(&fixture.config, fixture.dir.path());
+    let log = || std::fs::read_to_string(fixture.dir.path().join("log")).unwrap_or_default();
+    wait_until("the endpoint to be forgotten", || log().contains("forgotten while out by hand"));
     for n in 0..5 {
         assert_eq!(relay.submit(&format!("a{n}"), 0, "c=any,d=8000,dest=7", b""), "+OK");
     }
     std::thread::sleep(ms(300));
-    assert_eq!(one.requests().len(), 0);
-    assert_eq!(call(ops.mgmt, "POST", "/maintenance/exit?target=e1"), 200);
-    until("calls to the endpoint that is back", || one.requests().len() >= 5);
+    assert_eq!(endpoint.requests().len(), 0);
+    assert_eq!(call(fixture.admin_address, "POST", "/maintenance/exit?target=e1"), 200);
+    wait_until("calls to the endpoint after its maintenance", || endpoint.requests().len() >= 5);
 }
 
 #[test]
-fn metrics_tell_what_ended_and_that_no_guard_found_anything() {
+fn metrics_count_final_answers_and_report_no_violations() {
     let endpoint = Server::start(|_| ok());
-    let ops = ops(vec![member("e1", endpoint.address, 7, "single")]);
-    let mut relay = Relay::start(&ops.config, ops.dir.path());
+    let fixture = admin_fixture(vec![member("e1", endpoint.address, 7, "single")]);
+    let mut relay = Relay::start(&fixture.config, fixture.dir.path());
     assert_eq!(relay.submit("m1", 0, "c=any,d=8000,dest=7", b"x"), "+OK");
-    let metrics = || answer_to(ops.mgmt, b"GET /metrics HTTP/1.1\r\n\r\n");
-    until("the delivery", || metrics().contains("mountshift_final_answers_total{kind=\"delivered\"} 1"));
+    let metrics = || response_to(fixture.admin_address, b"GET /metrics HTTP/1.1\r\n\r\n");
+    wait_until("the delivery", || metrics().contains("mountshift_final_answers_total{kind=\"delivered\"} 1"));
     let text = metrics();
     for kind in ["unsafe_repeat", "second_final_answer", "closed_owing_answer"] {
         let line = format!("mountshift_violations_total{{kind=\"{kind}\"}} 0");
@@ -201,22 +209,24 @@
     }
     assert!(text.trim_end().ends_with("# EOF"), "{text}");
     relay.signal("TERM");
-    assert_eq!(relay.code(), Some(0));
-    let log = std::fs::read_to_string(ops.dir.path().join("log")).expect("a log");
+    assert_eq!(relay.wait_for_exit_code(), Some(0));
+    let log = std::fs::read_to_string(fixture.dir.path().join("log")).expect("a log");
     assert!(log.contains("0 messages kept, 0 violations"), "{log}");
 }
 
-// The address may still be the last process's for a moment, or the system short of what a socket needs.
+// At a start the previous process may still use the admin address, or the system may briefly lack resources for a socket.
 #[test]
-fn a_second_address_that_is_taken_for_a_moment_ends_no_start() {
-    let ops = ops(vec![member("e1", free_address(), 7, "single")]);
-    let taken = std::net::TcpListener::bind(ops.mgmt).expect("the address");
-    let freed = std::thread::spawn(move || {
+fn start_survives_an_admin_address_that_is_briefly_in_use() {
+    let fixture = admin_fixture(vec![member("e1", free_address(), 7, "single")]);
+    let listener = std::net::TcpListener::bind(fixture.admin_address).expect("the address");
+    let release = std::thread::spawn(move || {
         std::thread::sleep(ms(700));
-        drop(taken);
+        drop(listener);
     });
-    let _relay = Relay::start(&ops.config, ops.dir.path());
-    freed.join().expect("free");
-    until("the second address", || TcpStream::connect(ops.mgmt).is_ok());
-    assert_eq!(call(ops.mgmt, "GET", "/status"), 200);
+    let _relay = Relay::start(&fixture.config, fixture.dir.path());
+    release.join().expect("the address is released");
+    wait_until("the admin address to accept connections", || {
+        TcpStream::connect(fixture.admin_address).is_ok()
+    });
+    assert_eq!(call(fixture.admin_address, "GET", "/status"), 200);
 }
--- a/crates/relay/tests/relay/calls.rs
+++ b/crates/relay/tests/relay/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints: what goes out, what is kept back, and what each answer means.
+//! Calls to endpoints: contents of requests, when calls are allowed, and the effect of each response.
 
 use crate::support::{client::*, discovery::*, process::*, server::*, *};
 use serde_json::json;
@@ -9,160 +9,162 @@
 use test_case::test_case;
 
 #[test]
-fn a_message_goes_out_as_the_bytes_that_came() {
+fn request_carries_the_submitted_body_and_headers() {
     let endpoint = Server::start(|_| ok());
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     let body: Vec<u8> = (0..=255).chain(*b"\r\n$5\r\n\0").collect();
     assert_eq!(relay.submit("m1", 0, "c=any,d=8000,x=new,k=abc-1,dest=7", &body), "+OK");
-    until("the call", || endpoint.requests().len() == 1);
-    let got = &endpoint.requests()[0];
-    let header = |name: &str| got.headers.get(name).map(String::as_str);
-    assert_eq!((got.path.as_str(), &got.body), ("/receive", &body));
+    wait_until("the call", || endpoint.requests().len() == 1);
+    let request = &endpoint.requests()[0];
+    let header = |name: &str| request.headers.get(name).map(String::as_str);
+    assert_eq!((request.path.as_str(), &request.body), ("/receive", &body));
     assert_eq!((header("x-request-id"), header("idempotency-key")), (Some("m1"), Some("abc-1")));
-    let limit: u64 = header("x-timeout-ms").and_then(|l| l.parse().ok()).expect("a limit");
+    let limit: u64 = header("x-timeout-ms").and_then(|l| l.parse().ok()).expect("a time limit");
     assert!(limit > 0 && limit <= 8_000, "{limit}");
-    // The connection is kept, and nothing is told of a message that was delivered.
+    // The connection is reused, and a delivered message causes no notification.
     relay.submit("m2", 0, "c=once,d=8000,dest=7", b"");
-    until("the call", || endpoint.requests().len() == 2);
+    wait_until("the call", || endpoint.requests().len() == 2);
     assert!(endpoint.requests().iter().all(|r| r.connection == 0));
     assert!(fixture.platform.notifications().is_empty());
 }
 
 #[test]
-fn messages_of_one_step_share_a_call_and_end_separately() {
-    let again = Server::start(|r| {
-        let many = |ends: &[&str]| {
+fn messages_of_one_batch_are_resolved_individually() {
+    let endpoint = Server::start(|r| {
+        let batch_response = |ends: &[&str]| {
             let lines: Vec<String> =
                 r.ids().iter().zip(ends).map(|(id, end)| format!("{id} {end}\r\n")).collect();
-            answer(200, "Retry-After: 0.7\r\n", &lines.concat())
+            respond(200, "Retry-After: 0.7\r\n", &lines.concat())
         };
         if r.path == "/receive-many" {
-            many(&["delivered", "failed", "refused", "over", "spent"])
+            batch_response(&["delivered", "failed", "refused", "over", "spent"])
         } else {
             ok()
         }
     });
-    let fixture = fixture(0, vec![member("e1", again.address, 7, "bulk")]);
-    let relay = fixture.relay();
-    let list = "c=any,d=8000,k=key1,dest=7";
-    let five = ["a", "b", "c", "d"].map(|id| submit_request(id, 0, list, b"x\r\ny")).concat();
+    let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "bulk")]);
+    let relay = fixture.start_relay();
+    let parameters = "c=any,d=8000,k=key1,dest=7";
+    let four = ["a", "b", "c", "d"].map(|id| submit_request(id, 0, parameters, b"x\r\ny")).concat();
     let mut client = relay.client();
-    client.say(&[five, submit_request("e", 0, "c=any,d=8000,dest=7", b"")].concat());
-    assert_eq!([(); 5].map(|()| client.hear()), ["+OK"; 5]);
-    until("the refused ones", || again.ids().len() == 8);
+    client.send(&[four, submit_request("e", 0, "c=any,d=8000,dest=7", b"")].concat());
+    assert_eq!([(); 5].map(|()| client.read_reply()), ["+OK"; 5]);
+    wait_until("the rejected messages", || endpoint.ids().len() == 8);
     sleep(ms(300));
-    let got = again.requests();
+    let requests = endpoint.requests();
     let line = "key1 4\r\nx\r\ny\r\n";
     let body = format!("a {line}b {line}c {line}d {line}e - 0\r\n\r\n");
-    assert_eq!(String::from_utf8_lossy(&got[0].body), body);
-    // Neither what was delivered nor what is over goes again, nothing before the wait is over.
-    let mut later: Vec<String> = again.ids().split_off(5);
+    assert_eq!(String::from_utf8_lossy(&requests[0].body), body);
+    // Delivered messages and those answered `over` are not sent again; the others only after the Retry-After.
+    let mut later: Vec<String> = endpoint.ids().split_off(5);
     later.sort();
     assert_eq!(later, ["b", "c", "e"]);
-    assert!(got[1].at.duration_since(got[0].at) >= ms(700));
+    assert!(requests[1].at.duration_since(requests[0].at) >= ms(700));
 }
 
 #[test]
-fn a_retry_after_beside_deliveries_is_obeyed() {
-    let told = |r: &Request| r.ids().iter().map(|id| format!("{id} delivered\r\n")).collect::<String>();
+fn retry_after_in_a_successful_batch_response_is_obeyed() {
+    let all_delivered =
+        |r: &Request| r.ids().iter().map(|id| format!("{id} delivered\r\n")).collect::<String>();
     let endpoint = Server::start(move |r| {
-        if r.path == "/receive-many" { answer(200, "Retry-After: 0.8\r\n", &told(r)) } else { ok() }
+        if r.path == "/receive-many" { respond(200, "Retry-After: 0.8\r\n", &all_delivered(r)) } else { ok() }
     });
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "bulk")]);
-    let relay = fixture.relay();
-    relay.client().ask(&["a", "b"].map(|id| submit_request(id, 0, "c=any,d=8000,dest=7", b"")).concat());
-    until("the first call", || endpoint.ids().len() == 2);
+    let relay = fixture.start_relay();
+    relay.client().request(&["a", "b"].map(|id| submit_request(id, 0, "c=any,d=8000,dest=7", b"")).concat());
+    wait_until("the first call", || endpoint.ids().len() == 2);
     sleep(ms(50));
     relay.submit("c", 0, "c=any,d=8000,dest=7", b"");
-    until("the second call", || endpoint.ids().len() == 3);
-    let got = endpoint.requests();
-    assert!(got[1].at.duration_since(got[0].at) >= ms(800));
+    wait_until("the second call", || endpoint.ids().len() == 3);
+    let requests = endpoint.requests();
+    assert!(requests[1].at.duration_since(requests[0].at) >= ms(800));
 }
 
-// Where no rate is listed, answers tell the limit (`X-Server-Load`): what is submitted at once goes out at that pace.
-// Reports that can't be read change nothing.
-#[test_case("X-Server-Load: x0=0.4, x1=4\r\n" => true; "told")]
-#[test_case("X-Server-Load: x1=,x1=NaN,x0=4,{\r\n" => false; "not to be read")]
-fn a_rate_limit_reported_in_responses_paces_calls(header: &'static str) -> bool {
-    let endpoint = Server::start(move |_| answer(200, header, ""));
+// Without a listed rate, responses report the limit (`X-Server-Load`): a burst of messages is sent at that rate.
+// Unreadable reports have no effect.
+#[test_case("X-Server-Load: x0=0.4, x1=4\r\n" => true; "readable report")]
+#[test_case("X-Server-Load: x1=,x1=NaN,x0=4,{\r\n" => false; "unreadable report")]
+fn rate_limit_reported_in_responses_paces_calls(header: &'static str) -> bool {
+    let endpoint = Server::start(move |_| respond(200, header, ""));
     let mut fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
     fixture.config["settings"]["weights"] = json!("none");
     fixture.config["settings"]["loadInfo"] = json!({"source": "answers", "fields": ["x0", "x1"]});
     fixture.config["settings"]["familyInfo"]["reportX1"] =
         json!("calls a second that the limit allows; 0 where none");
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     assert_eq!(relay.submit("m", 0, "c=any,d=15000,dest=7", b"x"), "+OK");
-    until("the first call", || endpoint.ids().len() == 1);
+    wait_until("the first call", || endpoint.ids().len() == 1);
     sleep(ms(100));
     let all: Vec<u8> =
         (0..8).flat_map(|n| submit_request(&format!("m{n}"), 0, "c=any,d=15000,dest=7", b"x")).collect();
     let mut client = relay.client();
-    client.say(&all);
-    until("the calls", || endpoint.ids().len() == 9);
-    let got = endpoint.requests();
-    got[8].at.duration_since(got[1].at) > ms(800)
+    client.send(&all);
+    wait_until("the calls", || endpoint.ids().len() == 9);
+    let requests = endpoint.requests();
+    requests[8].at.duration_since(requests[1].at) > ms(800)
 }
 
 #[test]
-fn a_call_with_a_late_connection_obeys_a_retry_after_told_meanwhile() {
+fn call_with_slow_connect_obeys_a_retry_after_received_meanwhile() {
     let (listener, fillers) = full_listener();
     let address = listener.local_addr().expect("an address");
     let first = AtomicBool::new(true);
-    let full = move |_: &Request| first.swap(false, Ordering::SeqCst);
-    let waits = Server::start(move |r| if full(r) { answer(429, "Retry-After: 2\r\n", "") } else { ok() });
+    let is_first = move |_: &Request| first.swap(false, Ordering::SeqCst);
+    let rejecting =
+        Server::start(move |r| if is_first(r) { respond(429, "Retry-After: 2\r\n", "") } else { ok() });
     let fixture =
-        fixture(0, vec![member("e1", address, 7, "single"), member("e2", waits.address, 7, "single")]);
-    let relay = fixture.relay();
-    relay.client().ask(&["a", "b"].map(|id| submit_request(id, 0, "c=any,d=8000,dest=7", b"")).concat());
-    until("the refused call", || waits.ids().len() == 1);
+        fixture(0, vec![member("e1", address, 7, "single"), member("e2", rejecting.address, 7, "single")]);
+    let relay = fixture.start_relay();
+    relay.client().request(&["a", "b"].map(|id| submit_request(id, 0, "c=any,d=8000,dest=7", b"")).concat());
+    wait_until("the rejected call", || rejecting.ids().len() == 1);
     drop(fillers);
     let late = Server::on(listener, |_| ok());
-    until("both", || waits.ids().len() + late.ids().len() == 3);
+    wait_until("both messages", || rejecting.ids().len() + late.ids().len() == 3);
     assert!(fixture.log().contains("call to endpoint e1 not made: no longer allowed"));
-    let all = [waits.requests(), late.requests()].concat();
+    let all = [rejecting.requests(), late.requests()].concat();
     let gap = |r: &Request| r.at.duration_since(all[0].at);
     assert!(all[1..].iter().all(|r| gap(r) >= ms(2_000)), "{:?}", all.iter().map(gap).collect::<Vec<_>>());
 }
 
 #[test]
-fn a_call_with_a_late_connection_obeys_a_drain_told_meanwhile() {
-    // When discovery told it can't be known here: within the grace of when it was heard it may be long ago.
+fn call_with_slow_connect_obeys_a_drain_reported_meanwhile() {
+    // The relay can't know when discovery published the drain, so it binds even within the grace after the relay read it.
     let (listener, fillers) = full_listener();
     let e1 = member("e1", listener.local_addr().expect("an address"), 7, "single");
     let other = Server::start(|_| ok());
     let fixture = fixture(0, vec![e1.clone()]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     assert_eq!(relay.submit("m1", 0, "c=any,d=8000,dest=7", b""), "+OK");
     sleep(ms(200));
-    let mut leaving = e1;
-    leaving["phase"] = json!("Terminating");
-    fixture.platform.set(vec![leaving, member("e2", other.address, 7, "single")]);
-    until("the list", || fixture.log().contains("list 3:"));
+    let mut draining = e1;
+    draining["phase"] = json!("Terminating");
+    fixture.platform.set_members(vec![draining, member("e2", other.address, 7, "single")]);
+    wait_until("the list", || fixture.log().contains("list 3:"));
     drop(fillers);
     let late = Server::on(listener, |_| ok());
-    until("the call elsewhere", || other.ids() == ["m1"]);
+    wait_until("the call elsewhere", || other.ids() == ["m1"]);
     assert_eq!(late.ids().len(), 0);
     assert!(fixture.log().contains("call to endpoint e1 not made: no longer allowed"));
 }
 
 #[test]
-fn a_relay_that_was_suspended_polls_for_drains_before_it_sends() {
-    let wait = AtomicBool::new(true);
+fn resumed_relay_polls_discovery_before_sending() {
+    let rejects = AtomicBool::new(true);
     let endpoint = Server::start(move |_| {
-        if wait.swap(false, Ordering::SeqCst) { answer(429, "Retry-After: 0.6\r\n", "") } else { ok() }
+        if rejects.swap(false, Ordering::SeqCst) { respond(429, "Retry-After: 0.6\r\n", "") } else { ok() }
     });
     let e1 = member("e1", endpoint.address, 7, "single");
     let fixture = fixture(0, vec![e1.clone()]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     assert_eq!(relay.submit("m1", 0, "c=any,d=15000,dest=7", b"1"), "+OK");
-    until("the first call", || endpoint.ids().len() == 1);
+    wait_until("the first call", || endpoint.ids().len() == 1);
     sleep(ms(100));
     relay.signal("STOP");
-    until("the relay to stand still", || relay.is_suspended());
-    let mut leaving = e1;
-    leaving["phase"] = json!("Terminating");
-    fixture.platform.set(vec![leaving]);
+    wait_until("the relay to be suspended", || relay.is_suspended());
+    let mut draining = e1;
+    draining["phase"] = json!("Terminating");
+    fixture.platform.set_members(vec![draining]);
     sleep(ms(1_500));
     relay.signal("CONT");
     sleep(ms(700));
@@ -170,59 +172,67 @@
 }
 
 #[test]
-fn no_call_outlasts_the_time_limit_of_any_of_its_messages() {
-    // Every call with several messages is answered well, but later than the first of them may still be delivered.
-    let late = |r: &Request| r.ids().iter().map(|id| format!("{id} delivered\r\n")).collect::<String>();
+fn batch_call_ends_by_the_earliest_time_limit_of_its_messages() {
+    // Every batch call gets a successful response, but after the deadline of its first message.
+    let all_delivered =
+        |r: &Request| r.ids().iter().map(|id| format!("{id} delivered\r\n")).collect::<String>();
     let endpoint = Server::start(move |r| {
-        let text = late(r);
+        let text = all_delivered(r);
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
-        if r.path == "/receive-many" { ServerAction::Say(head + &text, ms(1_600)) } else { ok() }
+        if r.path == "/receive-many" { ServerAction::Respond(head + &text, ms(1_600)) } else { ok() }
     });
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "bulk")]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     let start = Instant::now();
     let both = [
         submit_request("m1", 9, "c=line,d=900,dest=7", b""),
         submit_request("long", 0, "c=any,d=8000,dest=7", b""),
     ];
-    assert_eq!(relay.client().ask(&both.concat()), "+OK");
+    assert_eq!(relay.client().request(&both.concat()), "+OK");
     relay.submit("m2", 9, "c=line,d=8000,dest=7", b"");
-    until("the notification", || fixture.platform.notifications() == [r#"{"id":"m1","state":"failed"}"#]);
+    wait_until("the notification", || {
+        fixture.platform.notifications() == [r#"{"id":"m1","state":"failed"}"#]
+    });
     assert!(start.elapsed() < ms(900 + 300), "{:?}", start.elapsed());
-    // What was told as its limit was kept: the other message goes again long before the late answer comes.
-    until("the other one again", || endpoint.ids().iter().filter(|id| *id == "long").count() == 2);
-    let (first, again) = (&endpoint.requests()[0], start.elapsed());
-    let told: u64 = first.headers["x-timeout-ms"].parse().expect("a limit");
-    assert!(told <= 900 && again < ms(1_600), "told {told} ms, again after {again:?}");
-    until("the next of the key", || endpoint.ids().contains(&"m2".to_string()));
+    // The relay ended the call at the limit it announced: the other message is sent again before the late response.
+    wait_until("the retry of the other message", || {
+        endpoint.ids().iter().filter(|id| *id == "long").count() == 2
+    });
+    let (first, retried_after) = (&endpoint.requests()[0], start.elapsed());
+    let limit: u64 = first.headers["x-timeout-ms"].parse().expect("a time limit");
+    assert!(limit <= 900 && retried_after < ms(1_600), "limit {limit} ms, retry after {retried_after:?}");
+    wait_until("the next message of the key", || endpoint.ids().contains(&"m2".to_string()));
     let at = endpoint.requests().iter().find(|r| r.ids().contains(&"m2".into())).expect("m2").at;
     assert!(at.duration_since(start) >= ms(720 + 300), "{:?}", at.duration_since(start));
     assert_eq!(fixture.platform.notifications().len(), 1);
 }
 
 #[test]
-fn after_a_timeout_the_next_message_of_its_key_is_held_off() {
+fn timeout_holds_off_the_next_message_of_its_key() {
     let endpoint = Server::start(|r| if r.ids()[0] == "m1" { ServerAction::Hang } else { ok() });
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     relay.submit("m1", 9, "c=pay,d=1000,dest=7", b"x");
     relay.submit("m2", 9, "c=pay,d=8000,dest=7", b"x");
-    until("the second of the key", || endpoint.ids().len() == 2);
-    let told =
+    wait_until("the second message of the key", || endpoint.ids().len() == 2);
+    let notified_at =
         fixture.platform.server.requests().iter().rfind(|r| r.path == "/status").expect("a notification").at;
-    assert!(endpoint.requests()[1].at.duration_since(told) >= ms(250), "it may still be running");
+    assert!(
+        endpoint.requests()[1].at.duration_since(notified_at) >= ms(250),
+        "the first attempt may still be running"
+    );
 }
 
-#[test_case(503, "", "once" => 2; "rejected may go again")]
-#[test_case(429, "Retry-After: 0.3\r\n", "once" => 2; "so may what is told to wait")]
-#[test_case(503, "Slots-Taken: 1\r\n", "once" => 2; "and what was not sent")]
-#[test_case(500, "", "once" => 1; "an error may have run")]
-#[test_case(500, "", "any" => 2; "an error of an idempotent one goes again")]
-#[test_case(410, "", "any" => 1; "over is over")]
-#[test_case(0, "", "once" => 1; "a reset may have run")]
-#[test_case(0, "", "any" => 2; "a reset of an idempotent one goes again")]
-#[test_case(1, "", "once" => 1; "what is no answer may have run")]
-fn each_response_status_ends_an_attempt_as_documented(
+#[test_case(503, "", "once" => 2; "503 is retried")]
+#[test_case(429, "Retry-After: 0.3\r\n", "once" => 2; "429 with Retry-After is retried")]
+#[test_case(503, "Slots-Taken: 1\r\n", "once" => 2; "503 with Slots-Taken is retried")]
+#[test_case(500, "", "once" => 1; "500 fails a non-idempotent message")]
+#[test_case(500, "", "any" => 2; "500 is retried for an idempotent message")]
+#[test_case(410, "", "any" => 1; "410 is not retried")]
+#[test_case(0, "", "once" => 1; "closed connection fails a non-idempotent message")]
+#[test_case(0, "", "any" => 2; "closed connection is retried for an idempotent message")]
+#[test_case(1, "", "once" => 1; "non-HTTP response fails a non-idempotent message")]
+fn response_status_decides_whether_a_message_is_retried(
     status: u16,
     headers: &'static str,
     class: &str,
@@ -231,159 +241,166 @@
     let endpoint = Server::start(move |_| match (first.swap(false, Ordering::SeqCst), status) {
         (false, _) => ok(),
         (true, 0) => ServerAction::Close,
-        (true, 1) => ServerAction::Say("SMTP ready\r\n\r\n".into(), Duration::ZERO),
-        (true, _) => answer(status, headers, ""),
+        (true, 1) => ServerAction::Respond("SMTP ready\r\n\r\n".into(), Duration::ZERO),
+        (true, _) => respond(status, headers, ""),
     });
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     relay.submit("m1", 0, &format!("c={class},d=8000,dest=7"), b"x");
     let failed = class == "once" && matches!(status, 500 | 0 | 1);
     if failed {
-        until("the notification", || fixture.platform.notifications() == [r#"{"id":"m1","state":"failed"}"#]);
+        wait_until("the notification", || {
+            fixture.platform.notifications() == [r#"{"id":"m1","state":"failed"}"#]
+        });
     }
     sleep(ms(900));
     assert_eq!(fixture.platform.notifications().len(), usize::from(failed));
     endpoint.ids().len()
 }
 
-// A delivery must not be taken for a failure, an incomplete rejection must not be believed, and the connection of
-// either must not be used again.
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc" => (false, false); "a body that stalls")]
-#[test_case("HTTP/1.1 200 OK\r\nX-" => (false, false); "a head that stalls")]
-#[test_case("HTTP/1.1 200 OK\r\n \x01 : :\r\n\r\n" => (false, false); "a head that can't be read")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n" => (false, false); "a length that can't be read")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc" => (false, false); "an endless body")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 500 X\r\n" => (false, false); "more than an answer")]
-#[test_case("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" => (false, true); "1xx in front")]
-#[test_case("HTTP/1.1 2000 OK\r\nX-" => (true, false); "no status")]
-#[test_case("HTTP/1.1 503 X\r\nContent-Length: 10\r\n\r\nabc" => (true, false); "a refusal that stalls")]
-#[test_case("HTTP/1.1 429 X\r\nRetry-After: 0.1\r\n" => (true, false); "a wait that stalls")]
-#[test_case("HTTP/1.1 504 X\r\nContent-Length: 0\r\nContent-Length: 1\r\n\r\n" => (true, false); "two lengths")]
-#[test_case("HTTP/1.1 410 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcde" => (true, false); "chunks that don't fit")]
+// Returns whether the message failed and whether its connection was reused. A malformed 2xx still counts as a delivery;
+// a malformed rejection counts as an attempt that may have run. The connection of either must not be reused.
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc" => (false, false); "stalled body")]
+#[test_case("HTTP/1.1 200 OK\r\nX-" => (false, false); "stalled head")]
+#[test_case("HTTP/1.1 200 OK\r\n \x01 : :\r\n\r\n" => (false, false); "unreadable head")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n" => (false, false); "unreadable length")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc" => (false, false); "oversized body")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 500 X\r\n" => (false, false); "bytes after the response")]
+#[test_case("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" => (false, true); "1xx before the final response")]
+#[test_case("HTTP/1.1 2000 OK\r\nX-" => (true, false); "invalid status")]
+#[test_case("HTTP/1.1 503 X\r\nContent-Length: 10\r\n\r\nabc" => (true, false); "stalled rejection")]
+#[test_case("HTTP/1.1 429 X\r\nRetry-After: 0.1\r\n" => (true, false); "stalled Retry-After")]
+#[test_case("HTTP/1.1 504 X\r\nContent-Length: 0\r\nContent-Length: 1\r\n\r\n" => (true, false); "two Content-Length headers")]
+#[test_case("HTTP/1.1 410 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcde" => (true, false); "chunk longer than its size")]
 #[test_case("HTTP/1.1 410 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nSum: 5f3a\r\nX-Done: 1\r\n\r\n"
-    => (false, true); "chunks with trailers")]
-fn a_malformed_response_is_believed_only_as_far_as_is_safe(said: &'static str) -> (bool, bool) {
+    => (false, true); "chunked body with trailers")]
+fn malformed_response_is_trusted_only_where_safe(response: &'static str) -> (bool, bool) {
     let endpoint =
-        Server::start(|r| if r.ids()[0] == "m1" { ServerAction::Say(said.into(), ms(0)) } else { ok() });
+        Server::start(
+            |r| if r.ids()[0] == "m1" { ServerAction::Respond(response.into(), ms(0)) } else { ok() },
+        );
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     relay.submit("m1", 0, "c=once,d=800,dest=7", b"x");
-    until("the call", || endpoint.ids().len() == 1);
+    wait_until("the call", || endpoint.ids().len() == 1);
     sleep(ms(1_000));
     let failed = !fixture.platform.notifications().is_empty();
     relay.submit("m2", 0, "c=any,d=8000,dest=7", b"x");
-    until("the next call", || endpoint.ids().contains(&"m2".into()));
-    let got = endpoint.requests();
-    assert_eq!(got.len(), 2, "it may have run: not again");
-    // A whole answer leaves its connection of use; after any other a new one is made.
-    let reused = got[1].connection == 0;
-    (failed, reused)
+    wait_until("the next call", || endpoint.ids().contains(&"m2".into()));
+    let requests = endpoint.requests();
+    assert_eq!(requests.len(), 2, "a message that may have run must not be sent again");
+    // Only a complete response leaves its connection reusable.
+    let is_reused = requests[1].connection == 0;
+    (failed, is_reused)
 }
 
 #[test]
-fn a_notification_is_repeated_until_taken_and_blocks_its_key() {
-    let endpoint = Server::start(|r| if r.ids()[0] == "m1" { answer(500, "", "") } else { ok() });
+fn notification_is_retried_until_accepted_and_blocks_its_key() {
+    let endpoint = Server::start(|r| if r.ids()[0] == "m1" { respond(500, "", "") } else { ok() });
     let fixture = fixture(3, vec![member("e1", endpoint.address, 7, "single")]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     relay.submit("m1", 9, "c=pay,d=8000,dest=7", b"x");
     relay.submit("m2", 9, "c=pay,d=8000,dest=7", b"x");
-    until("the second of the key", || endpoint.ids() == ["m1", "m2"]);
+    wait_until("the second message of the key", || endpoint.ids() == ["m1", "m2"]);
     assert_eq!(fixture.platform.notifications(), [r#"{"id":"m1","state":"failed"}"#; 4]);
-    let told =
+    let notified_at =
         fixture.platform.server.requests().iter().rfind(|r| r.path == "/status").expect("a notification").at;
-    assert!(endpoint.requests()[1].at > told, "sent before the notification was taken");
+    assert!(endpoint.requests()[1].at > notified_at, "sent before the notification was accepted");
 }
 
 #[test]
-fn a_message_past_its_deadline_ends_by_a_notification() {
+fn message_past_its_deadline_ends_with_a_notification() {
     let endpoint = Server::start(|_| ServerAction::Hang);
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single"), unreachable_endpoint()]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     let start = Instant::now();
     relay.submit("out", 0, "c=once,d=900,dest=7", b"x");
     relay.submit("parked", 0, "c=any,d=700,dest=8", b"x");
-    until("both", || fixture.platform.notifications().len() == 2);
+    wait_until("both notifications", || fixture.platform.notifications().len() == 2);
     assert!(start.elapsed() < ms(900 + 300), "{:?}", start.elapsed());
 }
 
 #[test]
-fn a_connection_closed_while_idle_is_not_used_again() {
-    let closing =
-        Server::start(|_| ServerAction::SayAndClose("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into()));
+fn connection_closed_while_idle_is_not_reused() {
+    let closing = Server::start(|_| {
+        ServerAction::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
+    });
     let fixture = fixture(0, vec![member("e1", closing.address, 7, "single")]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     for (n, id) in ["m1", "m2", "m3"].iter().enumerate() {
         relay.submit(id, 0, "c=once,d=8000,dest=7", b"x");
-        until("the call", || closing.ids().len() == n + 1);
+        wait_until("the call", || closing.ids().len() == n + 1);
         sleep(ms(100));
     }
     assert_eq!(closing.requests().iter().map(|r| r.connection).collect::<Vec<_>>(), [0, 1, 2]);
     assert!(fixture.platform.notifications().is_empty());
-    until("log lines", || fixture.log().matches("ended: closed-while-idle after 1 requests").count() == 3);
+    wait_until("the log lines", || {
+        fixture.log().matches("ended: closed-while-idle after 1 requests").count() == 3
+    });
 }
 
 #[test]
-fn in_a_large_fleet_a_connection_ends_with_its_call() {
-    // The endpoint holds two connections; a third is rejected at the door, as the protocol tells it.
+fn large_fleet_closes_each_connection_after_its_call() {
+    // The endpoint allows two connections and rejects the third on accept, as the protocol specifies.
     let endpoint = Server::start(|r| {
         if r.connection == 2 {
-            return answer(503, "Connection: close\r\n", "");
+            return respond(503, "Connection: close\r\n", "");
         }
         ok()
     });
     let mut fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
     fixture.config["settings"]["balancers"] = json!(300);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     for n in 0..4 {
         assert_eq!(relay.submit(&format!("m{n}"), 0, "c=any,d=8000,dest=7", b""), "+OK");
-        until("the call", || endpoint.requests().iter().any(|r| r.ids() == [format!("m{n}")]));
+        wait_until("the call", || endpoint.requests().iter().any(|r| r.ids() == [format!("m{n}")]));
     }
-    // Each call came on a connection of its own, closed after it; the one rejected went again.
-    until("the message rejected", || endpoint.requests().len() == 5);
+    // Each call uses its own connection, closed after the call; the rejected message is sent again.
+    wait_until("the retry of the rejected message", || endpoint.requests().len() == 5);
     let connections: Vec<usize> = endpoint.requests().iter().map(|r| r.connection).collect();
     assert_eq!(connections, [0, 1, 2, 3, 4]);
     assert!(fixture.platform.notifications().is_empty());
 }
 
 #[test]
-fn a_failed_connect_proves_that_the_message_never_ran() {
+fn non_idempotent_message_is_retried_after_a_failed_connect() {
     let fixture = fixture(0, vec![member("e1", free_address(), 7, "single")]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     assert_eq!(relay.submit("m1", 0, "c=once,d=8000,dest=7", b"x"), "+OK");
-    until("a refused connection", || fixture.log().contains("connection to endpoint e1 not made"));
+    wait_until("a refused connection", || fixture.log().contains("connection to endpoint e1 not made"));
     let late = Server::start(|_| ok());
-    fixture.platform.set(vec![member("e1", late.address, 7, "single")]);
-    until("the call", || late.ids() == ["m1"]);
+    fixture.platform.set_members(vec![member("e1", late.address, 7, "single")]);
+    wait_until("the call", || late.ids() == ["m1"]);
     assert!(fixture.platform.notifications().is_empty());
 }
 
-/// Bytes that a body holds at most, by the protocol.
+/// Maximum body size by the protocol.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-// Each message may be as large as a body: those that wait together may be too much for one call.
+// A single message may fill a whole body, so the messages queued together may exceed the limit of one call.
 #[test]
-fn a_call_of_several_messages_is_no_larger_than_a_body_may_be() {
+fn batch_call_stays_within_the_body_size_limit() {
     let endpoint = Server::start(|r| {
         if r.path != "/receive-many" {
             return ok();
         }
         if r.body.len() > MAX_BODY_BYTES {
-            return answer(413, "", "");
+            return respond(413, "", "");
         }
         let lines: String = r.ids().iter().map(|id| format!("{id} delivered\r\n")).collect();
-        answer(200, "", &lines)
+        respond(200, "", &lines)
     });
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "bulk")]);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     let ids: Vec<String> = (0..8).map(|n| format!("m{n}")).collect();
     let body = [b'x'; 20_000];
     let mut client = relay.client();
     let requests = ids.iter().map(|id| submit_request(id, 0, "c=once,d=8000,dest=7", &body));
-    client.say(&requests.collect::<Vec<_>>().concat());
+    client.send(&requests.collect::<Vec<_>>().concat());
     for _ in &ids {
-        assert_eq!(client.hear(), "+OK");
+        assert_eq!(client.read_reply(), "+OK");
     }
-    until("all messages", || endpoint.ids().len() >= ids.len());
+    wait_until("all messages", || endpoint.ids().len() >= ids.len());
     sleep(ms(300));
     let requests = endpoint.requests();
     let too_large = requests.iter().filter(|request| request.body.len() > MAX_BODY_BYTES).count();
@@ -394,22 +411,25 @@
     assert!(fixture.platform.notifications().is_empty(), "{:?}", fixture.platform.notifications());
 }
 
-// Many messages end at once, with ids as long as they may be: the platform does not take a call that is too large.
+// Many messages with ids of maximum length end at once; the platform rejects a notification call over the size limit.
 #[test]
-fn a_call_with_notifications_is_no_larger_than_a_body_may_be() {
+fn notification_call_stays_within_the_body_size_limit() {
     const MESSAGES: usize = 600;
-    let endpoint = Server::start(|_| answer(500, "", ""));
-    // They gather while the platform takes none.
+    let endpoint = Server::start(|_| respond(500, "", ""));
+    // Notifications accumulate while the platform rejects them.
     let mut fixture = fixture(120, vec![member("e1", endpoint.address, 7, "single")]);
     fixture.config["settings"]["limits"]["openCap"] = json!(2 * MESSAGES);
     fixture.config["settings"]["familyInfo"]["callsOut"] = json!(200);
     fixture.config["limits"]["disk_mb"] = json!(50);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     let mut client = relay.client();
     for n in 0..MESSAGES {
-        assert_eq!(client.ask(&submit_request(&format!("{n:0128}"), 0, "c=once,d=1500,dest=7", b"x")), "+OK");
+        assert_eq!(
+            client.request(&submit_request(&format!("{n:0128}"), 0, "c=once,d=1500,dest=7", b"x")),
+            "+OK"
+        );
     }
-    until("all notifications", || {
+    wait_until("all notifications", || {
         let calls = fixture.platform.server.requests();
         let largest = calls.iter().map(|call| call.body.len()).max().unwrap_or(0);
         assert!(largest <= MAX_BODY_BYTES, "{largest} bytes");
--- a/crates/relay/tests/relay/main.rs
+++ b/crates/relay/tests/relay/main.rs
@@ -1,4 +1,4 @@
-//! The relay as a process, against stand-ins on loopback.
+//! Runs relay processes against stand-ins on loopback sockets.
 
 #[allow(dead_code)]
 #[path = "../support/mod.rs"]
--- a/crates/relay/tests/relay/shared_ids.rs
+++ b/crates/relay/tests/relay/shared_ids.rs
@@ -1,4 +1,4 @@
-//! Two clients that hand in messages under one id.
+//! Messages that two clients submit under one id.
 
 use crate::support::{client::*, discovery::*, process::*, server::*, *};
 use mountshift_faults::{CallFault, SystemCall};
@@ -6,74 +6,68 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Microseconds between two steps, so that all that comes meanwhile is decided on in one.
-const LONG_STEP_US: u64 = 400_000;
-/// Requests that come within this are read before the next step.
-const READ_WITHIN: Duration = Duration::from_millis(100);
+/// Decision interval in microseconds; all requests received within it are decided together.
+const LONG_DECISION_INTERVAL_US: u64 = 400_000;
+/// Pause in which the relay reads a request, well before its next decision.
+const READ_TIME: Duration = Duration::from_millis(100);
 
-// What users saw: messages of one key overtook a message that had been accepted before them and was not over.
-// What happened: 17 ms after a client had handed in its message, and before the relay had read that, another client handed in a
-// message of its own under the same id, in no order. It was accepted. The first client's request was read 80 ms later and answered
-// +OK, as its id was held. The relay held nothing of that message: not its key, so that the next ones of the key were sent at once,
-// and not its content. What was held in its place ended undelivered at its deadline, 12 s later.
-// The cause: a message was taken to be the one that is held by its id alone.
-// The evidence: a replay of the run. The log says "came again while it is held" 97 ms after the message was handed in, on a connection
-// that stays open, and 80 ms after another client's only request; the final answer came 30 ms before the deadline counted from that
-// other request; no endpoint has seen the message.
+// Guards against the loss of an accepted message whose id another client's message already has. The relay identified held
+// messages by id alone and replied +OK without storing the second message. Its content was lost, and later messages of
+// its key were sent at once, since the relay did not know the key was in use.
 #[test]
-fn a_message_is_not_accepted_for_another_one_of_its_id() {
+fn message_sharing_an_id_with_a_held_one_is_not_lost() {
     let endpoint = Server::start(|_| ok());
     let members = vec![member("e1", endpoint.address, 7, "single"), unreachable_endpoint()];
     let fixture = fixture(0, members);
-    let relay = fixture.relay();
+    let relay = fixture.start_relay();
     assert_eq!(relay.submit("m1", 0, "c=any,d=12000,dest=8", b"of another client"), "+OK");
     let own = |id: &str| relay.submit(id, 5, "c=pay,d=12000,dest=7", b"own");
-    // Refused, it comes again under a new id, before the next one of its key is handed in.
+    // If rejected, it is submitted again under a new id before the next message of its key.
     let accepted = if own("m1") == "+OK" { "m1" } else { "m1-again" };
     if accepted != "m1" {
         assert_eq!(own(accepted), "+OK");
     }
     assert_eq!(own("m2"), "+OK");
-    until("the second message", || endpoint.ids().contains(&"m2".to_string()));
-    assert_eq!(endpoint.ids(), [accepted, "m2"], "accepted messages of one key, in order");
+    wait_until("the second message", || endpoint.ids().contains(&"m2".to_string()));
+    assert_eq!(endpoint.ids(), [accepted, "m2"], "accepted messages of one key must be sent in order");
 }
 
-// The same request twice is one message, and both clients have heard that it is accepted. One of them was gone before it heard, so
-// its message was withdrawn: the other one's was lost.
+// Two clients submit the same request, which counts as one message. Guards against its loss when one of them disconnects
+// before its reply: the relay withdrew the message though the other client had been told that it was accepted.
 #[test]
-fn a_message_that_two_clients_have_handed_in_is_withdrawn_by_neither_alone() {
+fn disconnect_of_one_client_keeps_a_message_submitted_by_two() {
     let first = std::sync::atomic::AtomicBool::new(true);
     let endpoint = Server::start(move |_| {
         let is_first = first.swap(false, std::sync::atomic::Ordering::SeqCst);
-        if is_first { answer(429, "Retry-After: 0.5\r\n", "") } else { ok() }
+        if is_first { respond(429, "Retry-After: 0.5\r\n", "") } else { ok() }
     });
     let mut fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    fixture.config["settings"]["quantum"] = LONG_STEP_US.into();
-    let relay = fixture.relay();
+    fixture.config["settings"]["quantum"] = LONG_DECISION_INTERVAL_US.into();
+    let relay = fixture.start_relay();
     let request = submit_request("m1", 5, "c=pay,d=12000,dest=7", b"own");
-    let mut gone = TcpStream::connect(relay.listen).expect("a connection");
-    gone.write_all(&request).expect("a request");
-    std::thread::sleep(READ_WITHIN);
-    socket2::SockRef::from(&gone).set_linger(Some(Duration::ZERO)).expect("a reset");
-    drop(gone);
-    assert_eq!(relay.client().ask(&request), "+OK");
-    until("the delivery", || endpoint.ids().len() == 2);
-    assert_eq!(endpoint.ids(), ["m1", "m1"], "rejected once, then delivered");
+    let mut leaving = TcpStream::connect(relay.listen).expect("a connection");
+    leaving.write_all(&request).expect("a request");
+    std::thread::sleep(READ_TIME);
+    socket2::SockRef::from(&leaving).set_linger(Some(Duration::ZERO)).expect("a reset");
+    drop(leaving);
+    assert_eq!(relay.client().request(&request), "+OK");
+    wait_until("the delivery", || endpoint.ids().len() == 2);
+    assert_eq!(endpoint.ids(), ["m1", "m1"], "rejected by the endpoint once, then delivered");
 }
 
-// Only what is written is accepted, whoever hands it in.
+// A message that could not be written to the spool must be accepted from no client.
 #[test]
-fn a_message_that_could_not_be_written_is_accepted_from_neither_of_two_clients() {
+fn failed_write_rejects_a_message_for_both_clients_that_submitted_it() {
     let endpoint = Server::start(|_| ok());
     let mut fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
-    fixture.config["settings"]["quantum"] = LONG_STEP_US.into();
-    let faults = fixture.faults();
-    let relay = fixture.relay_with_faults(&faults);
+    fixture.config["settings"]["quantum"] = LONG_DECISION_INTERVAL_US.into();
+    let faults = fixture.fault_control();
+    let relay = fixture.start_relay_with_faults(&faults);
     faults.set_call_fault(SystemCall::FileWrite, CallFault::always(libc::ENOSPC)).expect("a fault");
     let request = submit_request("m1", 5, "c=pay,d=12000,dest=7", b"own");
     let mut clients = [relay.client(), relay.client()];
     for client in &mut clients {
-        client.say(&request);
+        client.send(&request);
     }
-    assert_eq!(clients.map(|mut client| client.hear()), ["-BUSY", "-BUSY"]);
+    assert_eq!(clients.map(|mut client| client.read_reply()), ["-BUSY", "-BUSY"]);
 }
--- a/crates/relay/tests/support/discovery.rs
+++ b/crates/relay/tests/support/discovery.rs
@@ -1,44 +1,47 @@
-//! Discovery, with a list that can change and the notifications that it got.
+//! Stand-in platform: serves the endpoint list and receives the notifications of ends.
 
 use super::process::free_address;
-use super::server::{Server, answer};
+use super::server::{Server, respond};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Discovery: a list that can change, and notifications with the status each call gets.
+/// Server of the endpoint list at `/catalog` and of notifications at `/status`; a test can change the list.
 pub(crate) struct Platform {
     pub server: Server,
+    /// Revision and members.
     list: Arc<Mutex<(u64, Vec<Value>)>>,
 }
 
 impl Platform {
-    /// The first `refused` calls with notifications are answered 500.
-    pub(crate) fn start(refused: usize) -> Platform {
+    /// Starts the server; it responds with 500 to the first `rejected` calls with notifications.
+    pub(crate) fn start(rejected: usize) -> Platform {
         let list: Arc<Mutex<(u64, Vec<Value>)>> = Arc::new(Mutex::new((1, Vec::new())));
-        let (shown, left) = (list.clone(), Mutex::new(refused));
+        let (served_list, to_reject) = (list.clone(), Mutex::new(rejected));
         let server = Server::start(move |request| {
             if request.path == "/status" {
-                let mut left = left.lock().expect("a count");
-                let status = if *left > 0 { 500 } else { 204 };
-                *left = left.saturating_sub(1);
-                return answer(status, "", "");
+                let mut to_reject = to_reject.lock().expect("lock the count");
+                let status = if *to_reject > 0 { 500 } else { 204 };
+                *to_reject = to_reject.saturating_sub(1);
+                return respond(status, "", "");
             }
-            let asked = |name: &str| -> Option<u64> {
+            let parameter = |name: &str| -> Option<u64> {
                 request.path.split(name).nth(1).and_then(|t| t.split('&').next()?.parse().ok())
             };
-            let (index, by) =
-                (asked("index="), Instant::now() + Duration::from_millis(asked("wait=").unwrap_or(0)));
+            let (index, deadline) = (
+                parameter("index="),
+                Instant::now() + Duration::from_millis(parameter("wait=").unwrap_or(0)),
+            );
             loop {
-                let (revision, members) = shown.lock().expect("a list").clone();
+                let (revision, members) = served_list.lock().expect("lock the list").clone();
                 if index.is_none_or(|index| index < revision) {
                     let list = json!({"revision": revision, "complete": true, "members": members});
-                    return answer(200, "", &list.to_string());
+                    return respond(200, "", &list.to_string());
                 }
-                if Instant::now() >= by {
-                    return answer(
+                if Instant::now() >= deadline {
+                    return respond(
                         200,
                         "",
                         &json!({"revision": index, "complete": false, "members": []}).to_string(),
@@ -50,12 +53,13 @@
         Platform { server, list }
     }
 
-    pub(crate) fn set(&self, members: Vec<Value>) {
-        let mut list = self.list.lock().expect("a list");
+    /// Replaces the list and increments its revision.
+    pub(crate) fn set_members(&self, members: Vec<Value>) {
+        let mut list = self.list.lock().expect("lock the list");
         *list = (list.0 + 1, members);
     }
 
-    /// Notices as the platform got them, one text each, those of refused calls too.
+    /// Returns the notifications received, one text each, including those of rejected calls.
     pub(crate) fn notifications(&self) -> Vec<String> {
         let requests = self.server.requests();
         let bodies =
@@ -64,12 +68,13 @@
     }
 }
 
-pub(crate) fn member(id: &str, at: SocketAddr, dst: u32, kind: &str) -> Value {
-    json!({"id": id, "host_port": at.to_string(), "locality": "north", "flavor": kind, "cell": dst,
+/// Returns the list entry of a ready endpoint.
+pub(crate) fn member(id: &str, address: SocketAddr, destination: u32, kind: &str) -> Value {
+    json!({"id": id, "host_port": address.to_string(), "locality": "north", "flavor": kind, "cell": destination,
         "phase": "Ready", "size": 1000.0, "up_since_ms": 0})
 }
 
-/// An endpoint of destination 8 that refuses connections.
+/// Returns the list entry of an endpoint of destination 8 that refuses connections.
 pub(crate) fn unreachable_endpoint() -> Value {
     member("e0", free_address(), 8, "single")
 }
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what a relay meets: clients, endpoints, discovery. Plain threads on loopback sockets.
+//! Stand-ins for the peers of a relay (clients, endpoints, discovery): plain threads on loopback sockets.
 
 pub(crate) mod client;
 pub(crate) mod discovery;
@@ -14,25 +14,25 @@
     Duration::from_millis(n)
 }
 
-/// True while a connection to the address is on its way: asked for, and not taken.
-pub(crate) fn is_connecting(to: SocketAddr) -> bool {
-    let SocketAddr::V4(to) = to else { return false };
-    let to = format!("{:08X}:{:04X}", u32::from_le_bytes(to.ip().octets()), to.port());
+/// Returns whether a TCP connection to the address is being established.
+pub(crate) fn is_connecting(address: SocketAddr) -> bool {
+    let SocketAddr::V4(address) = address else { return false };
+    let remote = format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port());
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap_or_default();
-    // Its columns: number, own address, the other one, state; 02 is SYN_SENT.
-    table.lines().map(|l| l.split_whitespace().collect::<Vec<_>>()).any(|w| w[2] == to && w[3] == "02")
+    // Columns: number, local address, remote address, state; 02 is SYN_SENT.
+    table.lines().map(|l| l.split_whitespace().collect::<Vec<_>>()).any(|w| w[2] == remote && w[3] == "02")
 }
 
-/// Waits for something, ten seconds at most.
-pub(crate) fn until(what: &str, seen: impl FnMut() -> bool) {
-    until_within(ms(10_000), what, seen);
+/// Waits until the condition holds, ten seconds at most.
+pub(crate) fn wait_until(what: &str, condition: impl FnMut() -> bool) {
+    wait_until_within(ms(10_000), what, condition);
 }
 
-/// Waits for something, so long at most.
-pub(crate) fn until_within(most: Duration, what: &str, mut seen: impl FnMut() -> bool) {
+/// Waits until the condition holds and fails the test after `limit`.
+pub(crate) fn wait_until_within(limit: Duration, what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !seen() {
-        assert!(start.elapsed() < most, "waited for {what}");
+    while !condition() {
+        assert!(start.elapsed() < limit, "timed out waiting for {what}");
         thread::sleep(ms(5));
     }
 }
--- a/crates/relay/tests/support/process.rs
+++ b/crates/relay/tests/support/process.rs
@@ -1,8 +1,8 @@
-//! The relay as a process: its configuration, its folder, its start and its signals.
+//! Relay processes under test: configuration, state folder, start, signals and exit.
 
 use super::client::{Client, submit_request};
 use super::discovery::Platform;
-use super::until;
+use super::wait_until;
 use mountshift_faults::{CONTROL_VARIABLE, FaultControl};
 use serde_json::{Value, json};
 use std::io::BufReader;
@@ -12,7 +12,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// What an operator writes: classes `any` (idempotent), `once` (not idempotent), `line` (in order, idempotent).
+/// Returns a relay configuration with the message classes `any` (idempotent), `once` (not idempotent), `line` (in order,
+/// idempotent) and `pay` (in order, not idempotent).
 pub(crate) fn config(listen: SocketAddr, discovery: SocketAddr, members: &[Value]) -> Value {
     let class = |name: &str, effect: &str, in_order: bool| {
         json!({"name": name, "aim": 1_500_000, "giveUp": 20_000_000, "importance": 1.0, "lateWorth": 0.1,
@@ -38,7 +39,7 @@
             "penalties": {"crossZone": 0.03}}})
 }
 
-/// A relay as operators start it.
+/// A running relay process, killed when dropped.
 pub(crate) struct Relay {
     child: Child,
     pub listen: SocketAddr,
@@ -51,73 +52,75 @@
     }
 }
 
-pub(crate) fn command(config: &Path, state: &Path) -> Command {
+/// Returns the command that starts a relay with this configuration file and state folder.
+pub(crate) fn relay_command(config: &Path, state: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mountshift-relay"));
     command.env_clear().env("NODE_CONFIG", config).env("NODE_STATE", state);
     command
 }
 
-/// The library that makes system calls of a relay fail: cargo builds it beside this test program.
+/// Path of the library that injects faults into system calls of a relay; cargo builds it next to this test program.
 fn fault_shim() -> PathBuf {
-    let program = std::env::current_exe().expect("a program");
+    let program = std::env::current_exe().expect("path of the test program");
     let shim = program.with_file_name("libmountshift_fault_shim.so");
     assert!(shim.exists(), "{} is not built", shim.display());
     shim
 }
 
-/// A free address: on a loopback address of its own, so that no server or connection of another test, here or
-/// in a process beside this one, takes the port before it is used.
+/// Returns a free address on a loopback IP that no other test, here or in a concurrent process, uses, so that none of
+/// their servers or connections takes the port before it is used.
 pub(crate) fn free_address() -> SocketAddr {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let (process, n) = (std::process::id(), COUNT.fetch_add(1, Ordering::SeqCst));
-    let part = |n: u32| (n % 250) as u8 + 1;
-    let own = [127, part(process / 250 % 120 + 100), part(process), part(n)];
-    TcpListener::bind(SocketAddr::from((own, 0))).and_then(|l| l.local_addr()).expect("a port")
+    let octet = |n: u32| (n % 250) as u8 + 1;
+    let ip = [127, octet(process / 250 % 120 + 100), octet(process), octet(n)];
+    TcpListener::bind(SocketAddr::from((ip, 0))).and_then(|l| l.local_addr()).expect("a port")
 }
 
 impl Relay {
-    /// Starts one and waits for its `+PONG`.
+    /// Starts a relay and waits until it replies `+PONG`.
     pub(crate) fn start(config: &Value, dir: &Path) -> Relay {
-        Relay::start_with(config, dir, None)
+        Relay::start_with_discovery(config, dir, None)
     }
 
-    /// As above, with the address of discovery in its environment too.
-    pub(crate) fn start_with(config: &Value, dir: &Path, discovery: Option<SocketAddr>) -> Relay {
-        let discovery = discovery.map(|at| ("NODE_DISCOVERY", at.to_string()));
-        Relay::start_in(config, dir, &Vec::from_iter(discovery))
+    /// Starts a relay as [`Relay::start`] does, optionally with `NODE_DISCOVERY` in its environment.
+    pub(crate) fn start_with_discovery(config: &Value, dir: &Path, discovery: Option<SocketAddr>) -> Relay {
+        let discovery = discovery.map(|address| ("NODE_DISCOVERY", address.to_string()));
+        Relay::start_with_environment(config, dir, &Vec::from_iter(discovery))
     }
 
-    /// Starts one whose system calls obey the control file.
+    /// Starts a relay whose system calls get the faults of the control file.
     pub(crate) fn start_with_faults(config: &Value, dir: &Path, faults: &FaultControl) -> Relay {
-        Relay::start_in(config, dir, &Relay::fault_environment(faults))
+        Relay::start_with_environment(config, dir, &Relay::fault_environment(faults))
     }
 
-    /// As [`Relay::start_with_faults`], without waiting until it is ready.
-    pub(crate) fn begin_with_faults(config: &Value, dir: &Path, faults: &FaultControl) -> Relay {
-        Relay::begin_in(config, dir, &Relay::fault_environment(faults))
+    /// Starts a relay as [`Relay::start_with_faults`] does, without waiting until it is ready.
+    pub(crate) fn spawn_with_faults(config: &Value, dir: &Path, faults: &FaultControl) -> Relay {
+        Relay::spawn_with_environment(config, dir, &Relay::fault_environment(faults))
     }
 
-    /// What preloads the library that obeys the control file.
+    /// Returns the environment that preloads the fault library with this control file.
     pub(crate) fn fault_environment(faults: &FaultControl) -> [(&'static str, String); 2] {
         let control = faults.path().display().to_string();
         let shim = fault_shim().display().to_string();
         [(CONTROL_VARIABLE, control), ("LD_PRELOAD", shim)]
     }
 
-    fn start_in(config: &Value, dir: &Path, environment: &[(&str, String)]) -> Relay {
-        let relay = Relay::begin_in(config, dir, environment);
-        until("the relay to be ready", || TcpStream::connect(relay.listen).is_ok());
-        let said = relay.client().ask(b"*1\r\n$4\r\nPING\r\n");
-        assert_eq!(said, "+PONG", "{}", std::fs::read_to_string(dir.join("log")).unwrap_or_default());
+    fn start_with_environment(config: &Value, dir: &Path, environment: &[(&str, String)]) -> Relay {
+        let relay = Relay::spawn_with_environment(config, dir, environment);
+        wait_until("the relay to listen", || TcpStream::connect(relay.listen).is_ok());
+        let reply = relay.client().request(b"*1\r\n$4\r\nPING\r\n");
+        assert_eq!(reply, "+PONG", "{}", std::fs::read_to_string(dir.join("log")).unwrap_or_default());
         relay
     }
 
-    fn begin_in(config: &Value, dir: &Path, environment: &[(&str, String)]) -> Relay {
+    fn spawn_with_environment(config: &Value, dir: &Path, environment: &[(&str, String)]) -> Relay {
         let (file, state) = (dir.join("config.json"), dir.join("state"));
-        std::fs::write(&file, config.to_string()).expect("a config");
+        std::fs::write(&file, config.to_string()).expect("write the configuration");
         std::fs::create_dir_all(&state).expect("a folder");
-        let log = std::fs::File::options().create(true).append(true).open(dir.join("log")).expect("a log");
-        let mut command = command(&file, &state);
+        let log =
+            std::fs::File::options().create(true).append(true).open(dir.join("log")).expect("open the log");
+        let mut command = relay_command(&file, &state);
         command.envs(environment.iter().map(|(name, value)| (*name, value.as_str())));
         let child = command.stderr(log).stdout(Stdio::null()).spawn().expect("a relay");
         let listen = config["listen"].as_str().and_then(|a| a.parse().ok()).expect("an address");
@@ -130,9 +133,9 @@
         Client(BufReader::new(stream))
     }
 
-    /// Hands one message in on a connection of its own.
-    pub(crate) fn submit(&self, id: &str, key: u64, list: &str, body: &[u8]) -> String {
-        self.client().ask(&submit_request(id, key, list, body))
+    /// Submits one message on a new connection and returns the reply.
+    pub(crate) fn submit(&self, id: &str, key: u64, parameters: &str, body: &[u8]) -> String {
+        self.client().request(&submit_request(id, key, parameters, body))
     }
 
     pub(crate) fn signal(&self, name: &str) {
@@ -140,31 +143,31 @@
         assert!(Command::new("kill").args(["-s", name, &id]).status().expect("kill").success());
     }
 
-    /// The lowest descriptor that it does not hold: with this as its limit it opens no other.
+    /// Returns the lowest descriptor number that the process has not open. With this as its limit it can open no other.
     pub(crate) fn first_free_descriptor(&self) -> u64 {
-        let held = |number: &u64| Path::new(&format!("/proc/{}/fd/{number}", self.child.id())).exists();
-        (0..).find(|number| !held(number)).expect("a free one")
+        let is_open = |number: &u64| Path::new(&format!("/proc/{}/fd/{number}", self.child.id())).exists();
+        (0..).find(|number| !is_open(number)).expect("a free descriptor")
     }
 
-    /// Limits its descriptors from now on; gives back the limit before.
-    pub(crate) fn limit_descriptors(&self, most: Option<u64>) -> Option<u64> {
+    /// Sets the descriptor limit of the process and returns the previous one.
+    pub(crate) fn set_descriptor_limit(&self, limit: Option<u64>) -> Option<u64> {
         let process = rustix::process::Pid::from_child(&self.child);
         let resource = rustix::process::Resource::Nofile;
         let maximum = rustix::process::getrlimit(resource).maximum;
-        let limit = rustix::process::Rlimit { current: most, maximum };
+        let limit = rustix::process::Rlimit { current: limit, maximum };
         rustix::process::prlimit(Some(process), resource, limit).expect("a limit").current
     }
 
-    /// True once a STOP has taken effect.
+    /// Returns whether a SIGSTOP has taken effect.
     pub(crate) fn is_suspended(&self) -> bool {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
     }
 
-    /// Its exit code, if it ends within this time.
-    pub(crate) fn code_within(&mut self, most: Duration) -> Option<i32> {
+    /// Returns the exit code if the process exits within this time.
+    pub(crate) fn exit_code_within(&mut self, limit: Duration) -> Option<i32> {
         let start = Instant::now();
-        while start.elapsed() < most {
+        while start.elapsed() < limit {
             if let Some(status) = self.child.try_wait().expect("a state") {
                 return status.code();
             }
@@ -173,54 +176,57 @@
         None
     }
 
-    /// Its exit code, once it ends.
-    pub(crate) fn code(&mut self) -> Option<i32> {
+    /// Waits until the process exits and returns its exit code.
+    pub(crate) fn wait_for_exit_code(&mut self) -> Option<i32> {
         self.child.wait().expect("an end").code()
     }
 }
 
-/// A platform, and a relay's configuration and folder.
+/// A stand-in platform, and the configuration and folder of a relay.
 pub(crate) struct Fixture {
     pub dir: tempfile::TempDir,
     pub platform: Platform,
     pub config: Value,
 }
 
-/// A platform with one list, told to the relay from the start.
-pub(crate) fn fixture(refused: usize, members: Vec<Value>) -> Fixture {
-    let platform = Platform::start(refused);
+/// Returns a platform that serves `members` and a configuration that lists them too. The platform rejects the first
+/// `rejected` calls with notifications.
+pub(crate) fn fixture(rejected: usize, members: Vec<Value>) -> Fixture {
+    let platform = Platform::start(rejected);
     let config = config(free_address(), platform.server.address, &members);
-    platform.set(members);
+    platform.set_members(members);
     Fixture { dir: tempfile::tempdir().expect("a folder"), platform, config }
 }
 
 impl Fixture {
-    pub(crate) fn relay(&self) -> Relay {
+    pub(crate) fn start_relay(&self) -> Relay {
         Relay::start(&self.config, self.dir.path())
     }
 
     pub(crate) fn log(&self) -> String {
-        std::fs::read_to_string(self.dir.path().join("log")).expect("a log")
+        std::fs::read_to_string(self.dir.path().join("log")).expect("open the log")
     }
 
-    /// A control file under which nothing fails yet.
-    pub(crate) fn faults(&self) -> FaultControl {
+    /// Creates a control file without faults.
+    pub(crate) fn fault_control(&self) -> FaultControl {
         FaultControl::create(&self.dir.path().join("faults")).expect("a control file")
     }
 
-    /// A relay whose system calls obey the control file.
-    pub(crate) fn relay_with_faults(&self, faults: &FaultControl) -> Relay {
+    /// Starts a relay whose system calls get the faults of the control file.
+    pub(crate) fn start_relay_with_faults(&self, faults: &FaultControl) -> Relay {
         Relay::start_with_faults(&self.config, self.dir.path(), faults)
     }
 
-    /// Writes a configuration that names another discovery, for SIGHUP.
-    pub(crate) fn write_discovery(&self, to: SocketAddr) {
+    /// Writes a configuration with another discovery address, to be reloaded by SIGHUP.
+    pub(crate) fn write_discovery_address(&self, address: SocketAddr) {
         let mut config = self.config.clone();
-        config["discovery"] = json!(to.to_string());
-        std::fs::write(self.dir.path().join("config.json"), config.to_string()).expect("a config");
+        config["discovery"] = json!(address.to_string());
+        std::fs::write(self.dir.path().join("config.json"), config.to_string())
+            .expect("write the configuration");
     }
 
-    pub(crate) fn disk(&self) -> u64 {
+    /// Returns the size of the files in the state folder in bytes, each rounded up to blocks of 512.
+    pub(crate) fn disk_usage(&self) -> u64 {
         let files = std::fs::read_dir(self.dir.path().join("state")).expect("a folder").flatten();
         files.map(|f| f.metadata().map_or(0, |m| m.len().div_ceil(512) * 512)).sum()
     }
--- a/crates/relay/tests/support/server.rs
+++ b/crates/relay/tests/support/server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers: endpoints, and what stands in for others.
+//! Scripted HTTP server that stands in for endpoints and for discovery.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,19 +7,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A request as a server got it.
+/// A request as the server received it.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub path: String,
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
-    /// The connection it came on, and when.
+    /// Index of its connection, counted from 0.
     pub connection: usize,
+    /// Time of receipt.
     pub at: Instant,
 }
 
 impl Request {
-    /// The ids of the messages in it.
+    /// Returns the ids of the messages in the request.
     pub(crate) fn ids(&self) -> Vec<String> {
         if let Some(id) = self.headers.get("x-request-id") {
             return vec![id.clone()];
@@ -35,103 +36,111 @@
     }
 }
 
-/// What a server does with a request.
+/// The server's reaction to a request.
 #[derive(Clone, Debug)]
 pub(crate) enum ServerAction {
-    /// Answers with these bytes, after a while.
-    Say(String, Duration),
-    /// Answers, then closes without having said so.
-    SayAndClose(String),
+    /// Responds with this text after a delay.
+    Respond(String, Duration),
+    /// Responds, then closes the connection without a `Connection: close` header.
+    RespondAndClose(String),
+    /// Sends no response for a minute.
     Hang,
+    /// Closes the connection without a response.
     Close,
-    /// These steps in order, then the call is over at the latest; the connection carries no other call.
-    Play(Vec<Step>),
+    /// Takes these steps in order, then closes the connection.
+    Script(Vec<Step>),
 }
 
-/// A step of an answer that is not a plain one.
+/// A step of a scripted response.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     Write(Vec<u8>),
-    /// These bytes one at a time, with so long between two.
+    /// Writes these bytes one at a time with this pause between two.
     Drip(Vec<u8>, Duration),
-    /// The peer reads the end of the connection, this side goes on reading.
-    EndSending,
-    /// Until the peer ends the connection, or its sending.
-    AwaitPeer,
+    /// Shuts down the sending side; the server can still read.
+    ShutdownWrite,
+    /// Waits until the peer closes the connection or its sending side.
+    AwaitPeerClose,
+    /// Makes the close that follows a reset.
     Reset,
 }
 
-/// When a call was over at its server: its answer was written whole, or its connection ended.
+/// End of a call at the server: its response was written, or its connection was closed.
 #[derive(Clone, Debug)]
 pub(crate) struct CallEnd {
     pub ids: Vec<String>,
     pub at: Instant,
 }
 
-pub(crate) fn answer(status: u16, headers: &str, body: &str) -> ServerAction {
+/// Returns the action that responds at once with this status, these header lines and this body.
+pub(crate) fn respond(status: u16, headers: &str, body: &str) -> ServerAction {
     let text = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
-    ServerAction::Say(text, Duration::ZERO)
+    ServerAction::Respond(text, Duration::ZERO)
 }
 
 pub(crate) fn ok() -> ServerAction {
-    answer(200, "", "")
+    respond(200, "", "")
 }
 
-/// A server that keeps every request it got.
+/// A server that records every request it receives.
 #[derive(Clone)]
 pub(crate) struct Server {
     pub address: SocketAddr,
-    pub got: Arc<Mutex<Vec<Request>>>,
-    /// Calls that were answered by [`ServerAction::Say`] or [`ServerAction::Play`] and are over.
-    pub ended: Arc<Mutex<Vec<CallEnd>>>,
+    pub received: Arc<Mutex<Vec<Request>>>,
+    /// Ends of the calls handled by [`ServerAction::Respond`] or [`ServerAction::Script`].
+    pub call_ends: Arc<Mutex<Vec<CallEnd>>>,
 }
 
 impl Server {
-    pub(crate) fn start(act: impl Fn(&Request) -> ServerAction + Send + Sync + 'static) -> Server {
-        Server::on(TcpListener::bind("127.0.0.1:0").expect("a port"), act)
+    /// Starts a server on a free port; `handler` chooses the action for each request.
+    pub(crate) fn start(handler: impl Fn(&Request) -> ServerAction + Send + Sync + 'static) -> Server {
+        Server::on(TcpListener::bind("127.0.0.1:0").expect("a port"), handler)
     }
 
+    /// Starts a server on this listener.
     pub(crate) fn on(
         listener: TcpListener,
-        act: impl Fn(&Request) -> ServerAction + Send + Sync + 'static,
+        handler: impl Fn(&Request) -> ServerAction + Send + Sync + 'static,
     ) -> Server {
         let server = Server {
             address: listener.local_addr().expect("an address"),
-            got: Arc::default(),
-            ended: Arc::default(),
+            received: Arc::default(),
+            call_ends: Arc::default(),
         };
-        let (logs, act) = ((server.got.clone(), server.ended.clone()), Arc::new(act));
+        let (records, handler) = ((server.received.clone(), server.call_ends.clone()), Arc::new(handler));
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().flatten().enumerate() {
-                let ((got, ended), act) = (logs.clone(), act.clone());
-                thread::spawn(move || serve(stream, connection, &got, &ended, &*act));
+                let ((received, call_ends), handler) = (records.clone(), handler.clone());
+                thread::spawn(move || serve(stream, connection, &received, &call_ends, &*handler));
             }
         });
         server
     }
 
-    /// When the first call with this message was over.
-    pub(crate) fn first_end_of(&self, id: &str) -> Option<Instant> {
-        let ended = self.ended.lock().expect("ends");
-        ended.iter().find(|end| end.ids.iter().any(|ended| ended == id)).map(|end| end.at)
+    /// Returns the end of the first call with this message.
+    pub(crate) fn first_call_end(&self, id: &str) -> Option<Instant> {
+        let call_ends = self.call_ends.lock().expect("lock the ends");
+        call_ends.iter().find(|end| end.ids.iter().any(|ended| ended == id)).map(|end| end.at)
     }
 
+    /// Returns the requests in the order of their receipt.
     pub(crate) fn requests(&self) -> Vec<Request> {
-        self.got.lock().expect("requests").clone()
+        self.received.lock().expect("lock the requests").clone()
     }
 
-    /// Ids in the order in which they came.
+    /// Returns the message ids in the order of their receipt.
     pub(crate) fn ids(&self) -> Vec<String> {
         self.requests().iter().flat_map(Request::ids).collect()
     }
 }
 
+/// Handles the requests of one connection.
 fn serve(
     mut stream: TcpStream,
     connection: usize,
-    got: &Mutex<Vec<Request>>,
-    ended: &Mutex<Vec<CallEnd>>,
-    act: &dyn Fn(&Request) -> ServerAction,
+    received: &Mutex<Vec<Request>>,
+    call_ends: &Mutex<Vec<CallEnd>>,
+    handler: &dyn Fn(&Request) -> ServerAction,
 ) {
     let mut reader = BufReader::new(stream.try_clone().expect("a stream"));
     loop {
@@ -155,60 +164,60 @@
             return;
         }
         let request = Request { path, headers, body, connection, at: Instant::now() };
-        got.lock().expect("requests").push(request.clone());
-        let note_end = || {
-            ended.lock().expect("ends").push(CallEnd { ids: request.ids(), at: Instant::now() });
+        received.lock().expect("lock the requests").push(request.clone());
+        let record_end = || {
+            call_ends.lock().expect("lock the ends").push(CallEnd { ids: request.ids(), at: Instant::now() });
         };
-        match act(&request) {
-            ServerAction::Say(text, after) => {
-                thread::sleep(after);
-                // Noted before it is written: what the peer sends behind the answer comes later.
-                note_end();
+        match handler(&request) {
+            ServerAction::Respond(text, delay) => {
+                thread::sleep(delay);
+                // Recorded before the write, so that requests the peer sends after the response have a later time.
+                record_end();
                 if stream.write_all(text.as_bytes()).is_err() {
                     return;
                 }
             }
-            ServerAction::Play(steps) => {
+            ServerAction::Script(steps) => {
                 for step in steps {
-                    play(step, &mut stream);
+                    run_step(step, &mut stream);
                 }
-                return note_end();
+                return record_end();
             }
-            ServerAction::SayAndClose(text) => return drop(stream.write_all(text.as_bytes())),
+            ServerAction::RespondAndClose(text) => return drop(stream.write_all(text.as_bytes())),
             ServerAction::Hang => thread::sleep(Duration::from_secs(60)),
             ServerAction::Close => return,
         }
     }
 }
 
-fn play(step: Step, stream: &mut TcpStream) {
+fn run_step(step: Step, stream: &mut TcpStream) {
     match step {
         Step::Write(bytes) => drop(stream.write_all(&bytes)),
         Step::Drip(bytes, pause) => {
             for byte in bytes {
-                if stream.write_all(&[byte]).is_err() || peer_has_ended(stream, pause) {
+                if stream.write_all(&[byte]).is_err() || has_peer_closed(stream, pause) {
                     return;
                 }
             }
         }
-        Step::EndSending => drop(stream.shutdown(std::net::Shutdown::Write)),
-        Step::AwaitPeer => while !peer_has_ended(stream, Duration::from_secs(60)) {},
+        Step::ShutdownWrite => drop(stream.shutdown(std::net::Shutdown::Write)),
+        Step::AwaitPeerClose => while !has_peer_closed(stream, Duration::from_secs(60)) {},
         Step::Reset => {
             let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
-/// Waits for the end of the peer's sending, so long at most.
-fn peer_has_ended(stream: &mut TcpStream, most: Duration) -> bool {
-    let _ = stream.set_read_timeout(Some(most));
+/// Reads once, waiting `limit` at most; returns whether the peer has closed its sending side or the connection.
+fn has_peer_closed(stream: &mut TcpStream, limit: Duration) -> bool {
+    let _ = stream.set_read_timeout(Some(limit));
     match stream.read(&mut [0; 256]) {
         Ok(read) => read == 0,
         Err(error) => !matches!(error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
     }
 }
 
-/// A listener that takes no more connections for now; dropping what comes with it makes room.
+/// Returns a listener with a full accept queue, and the sockets that fill it; dropping these makes room.
 pub(crate) fn full_listener() -> (TcpListener, Vec<socket2::Socket>) {
     let socket =
         || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -219,7 +228,7 @@
     let address = listener.local_addr().expect("an address");
     let fill = |_| {
         let filler = socket();
-        filler.set_nonblocking(true).expect("a mode");
+        filler.set_nonblocking(true).expect("non-blocking mode");
         let _ = filler.connect(&address.into());
         filler
     };
