--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -94,11 +94,11 @@
     // Nine of ten reads fail, including the first one of each file; the shim's random draws are the same in each run.
     let most_reads_fail =
         CallFault { errno: libc::EIO, fail_rate: FULL_RATE * 9 / 10, ..CallFault::default() };
-    faults.set_call_fault(SystemCall::FileRead, most_reads_fail).expect("a fault");
+    faults.set_call_fault(SystemCall::FileRead, most_reads_fail).expect("set the fault");
     is_available.store(true, Ordering::SeqCst);
     let calls_before = endpoint.ids().len();
     let _relay = fixture.start_relay_with_faults(&faults);
-    faults.set_call_fault(SystemCall::FileRead, CallFault::default()).expect("no fault");
+    faults.set_call_fault(SystemCall::FileRead, CallFault::default()).expect("clear the fault");
     wait_until("all messages", || {
         let later: BTreeSet<String> = endpoint.ids().split_off(calls_before).into_iter().collect();
         later == accepted
@@ -109,15 +109,15 @@
 /// Makes half of the writes short and the others fail; truncation, which would remove partial records, fails too.
 fn break_writes(faults: &FaultControl) {
     let write = CallFault { errno: libc::ENOSPC, fail_rate: FULL_RATE, short_rate: 500, kill_rate: 0 };
-    faults.set_call_fault(SystemCall::FileTruncate, CallFault::always(libc::EIO)).expect("a fault");
-    faults.set_call_fault(SystemCall::FileRename, CallFault::always(libc::EIO)).expect("a fault");
-    faults.set_call_fault(SystemCall::FileWrite, write).expect("a fault");
+    faults.set_call_fault(SystemCall::FileTruncate, CallFault::always(libc::EIO)).expect("set the fault");
+    faults.set_call_fault(SystemCall::FileRename, CallFault::always(libc::EIO)).expect("set the fault");
+    faults.set_call_fault(SystemCall::FileWrite, write).expect("set the fault");
 }
 
 /// Ends the faults set by [`break_writes`].
 fn repair_writes(faults: &FaultControl) {
     for call in [SystemCall::FileWrite, SystemCall::FileTruncate, SystemCall::FileRename] {
-        faults.set_call_fault(call, CallFault::default()).expect("no fault");
+        faults.set_call_fault(call, CallFault::default()).expect("clear the fault");
     }
 }
 
@@ -133,7 +133,7 @@
     accepted.extend(submit_all(&relay, (0..10).map(|n| format!("during{n}")), parameters));
     repair_writes(&faults);
     accepted.extend(submit_all(&relay, (0..30).map(|n| format!("after{n}")), parameters));
-    assert!(faults.injected(SystemCall::FileWrite).expect("a count") > 0);
+    assert!(faults.injected(SystemCall::FileWrite).expect("read the count") > 0);
     assert!(accepted.len() >= 40, "{accepted:?}");
     relay.signal("KILL");
     drop(relay);
@@ -202,7 +202,9 @@
     assert_eq!(relay.submit("pay2", 5, "c=pay,d=15000,dest=7", b"x"), "+OK");
     break_writes(&faults);
     gate.open();
-    wait_until("failed connects", || faults.injected(SystemCall::FileTruncate).expect("a count") >= 40);
+    wait_until("failed truncations", || {
+        faults.injected(SystemCall::FileTruncate).expect("read the count") >= 40
+    });
     assert!(endpoint.ids().is_empty(), "a non-idempotent message must not be sent unrecorded");
     repair_writes(&faults);
     wait_until_within(ms(2_000), "the second message", || endpoint.ids() == ["pay2"]);
@@ -218,8 +220,8 @@
     let faults = fixture.fault_control();
     let relay = fixture.start_relay_with_faults(&faults);
     let transient = CallFault { errno, fail_rate: FULL_RATE / 3, ..CallFault::default() };
-    faults.set_call_fault(SystemCall::Send, transient).expect("a fault");
-    faults.set_call_fault(SystemCall::Receive, transient).expect("a fault");
+    faults.set_call_fault(SystemCall::Send, transient).expect("set the fault");
+    faults.set_call_fault(SystemCall::Receive, transient).expect("set the fault");
     let ids: BTreeSet<String> = (0..40).map(|n| format!("m{n}")).collect();
     for id in &ids {
         assert_eq!(relay.submit(id, 0, "c=once,d=15000,dest=7", b"x"), "+OK", "{id}");
@@ -228,7 +230,7 @@
     assert_eq!(endpoint.ids().len(), ids.len(), "each message is sent once");
     assert!(fixture.platform.notifications().is_empty(), "{:?}", fixture.platform.notifications());
     assert!(!fixture.log().contains("Closed -> Open"), "no breaker may open");
-    assert!(faults.injected(SystemCall::Send).expect("a count") > 10);
+    assert!(faults.injected(SystemCall::Send).expect("read the count") > 10);
 }
 
 // A configuration that can't be read for a moment after SIGHUP: no second SIGHUP follows, so without a retry the relay would
@@ -243,13 +245,13 @@
     let next = Platform::start(0);
     next.set_members(members);
     fixture.write_discovery_address(next.server.address);
-    faults.set_call_fault(SystemCall::FileRead, CallFault::always(libc::EIO)).expect("a fault");
-    let failed_before = faults.injected(SystemCall::FileRead).expect("a count");
+    faults.set_call_fault(SystemCall::FileRead, CallFault::always(libc::EIO)).expect("set the fault");
+    let failed_before = faults.injected(SystemCall::FileRead).expect("read the count");
     relay.signal("HUP");
     wait_until("a read that fails", || {
-        faults.injected(SystemCall::FileRead).expect("a count") > failed_before
+        faults.injected(SystemCall::FileRead).expect("read the count") > failed_before
     });
-    faults.set_call_fault(SystemCall::FileRead, CallFault::default()).expect("no fault");
+    faults.set_call_fault(SystemCall::FileRead, CallFault::default()).expect("clear the fault");
     wait_until_within(ms(3_000), "discovery to be polled at its new address", || {
         !next.server.requests().is_empty()
     });
@@ -264,12 +266,12 @@
     // Decision interval in microseconds, long enough for the kill.
     fixture.config["settings"]["quantum"] = 500_000.into();
     let blocking_folder = fixture.dir.path().join("state/clock.new");
-    std::fs::create_dir_all(&blocking_folder).expect("a folder");
+    std::fs::create_dir_all(&blocking_folder).expect("create the folder");
     let relay = fixture.start_relay();
     assert_eq!(relay.submit("m1", 0, "c=any,d=15000,dest=7", b"x"), "-BUSY");
     relay.signal("KILL");
     drop(relay);
-    std::fs::remove_dir(&blocking_folder).expect("no folder");
+    std::fs::remove_dir(&blocking_folder).expect("remove the folder");
     let relay = fixture.start_relay();
     assert_eq!(relay.submit("m2", 0, "c=any,d=15000,dest=7", b"x"), "+OK");
     wait_until("the second message", || received_ids(&endpoint).contains("m2"));
@@ -278,7 +280,7 @@
 
 /// Makes every open of a file fail.
 fn break_opens(faults: &FaultControl) {
-    faults.set_call_fault(SystemCall::FileOpen, CallFault::always(libc::EIO)).expect("a fault");
+    faults.set_call_fault(SystemCall::FileOpen, CallFault::always(libc::EIO)).expect("set the fault");
 }
 
 // A process that exits over a state folder that fails for a while would not be started again.
@@ -290,7 +292,7 @@
     break_opens(&faults);
     let mut relay = Relay::spawn_with_faults(&fixture.config, fixture.dir.path(), &faults);
     assert_eq!(relay.exit_code_within(ms(7_500)), None, "{}", fixture.log());
-    faults.set_call_fault(SystemCall::FileOpen, CallFault::default()).expect("no fault");
+    faults.set_call_fault(SystemCall::FileOpen, CallFault::default()).expect("clear the fault");
     assert_eq!(relay.client().request(b"*1\r\n$4\r\nPING\r\n"), "+PONG");
     assert_eq!(relay.submit("m1", 0, "c=any,d=8000,dest=7", b"x"), "+OK");
     wait_until("the call", || endpoint.ids() == ["m1"]);
@@ -302,7 +304,7 @@
     let faults = fixture.fault_control();
     break_opens(&faults);
     let mut relay = Relay::spawn_with_faults(&fixture.config, fixture.dir.path(), &faults);
-    wait_until("the start to wait", || faults.injected(SystemCall::FileOpen).expect("a count") > 3);
+    wait_until("the start to wait", || faults.injected(SystemCall::FileOpen).expect("read the count") > 3);
     relay.signal("TERM");
     assert_eq!(relay.exit_code_within(ms(3_600)), Some(0), "{}", fixture.log());
 }
@@ -320,7 +322,7 @@
     faults.set_file_hold(ms(700)).expect("set the delay");
     let mut client = relay.client();
     client.send(&submit_request("m1", 0, "c=once,d=15000,dest=7", b"x"));
-    wait_until("the write", || faults.file_holds().expect("a count") >= delayed_write);
+    wait_until("the write", || faults.file_holds().expect("read the count") >= delayed_write);
     let mut draining_entry = member("e1", draining.address, 7, "single");
     draining_entry["phase"] = "Terminating".into();
     fixture.platform.set_members(vec![draining_entry, member("e2", other.address, 7, "single")]);
--- a/crates/relay/tests/handover/failing_folder.rs
+++ b/crates/relay/tests/handover/failing_folder.rs
@@ -32,14 +32,15 @@
 /// exits.
 fn upgrade_with_failing(call: SystemCall, target: FaultTarget) {
     let fixture = upgrade_fixture();
-    let control = |name| FaultControl::create(&fixture.dir.path().join(name)).expect("a control file");
+    let control =
+        |name| FaultControl::create(&fixture.dir.path().join(name)).expect("create the control file");
     let (active_faults, successor_faults) = (control("faults-0"), control("faults-1"));
     let set = |fault| {
         if target != FaultTarget::Successor {
-            active_faults.set_call_fault(call, fault).expect("a fault");
+            active_faults.set_call_fault(call, fault).expect("set the fault");
         }
         if target != FaultTarget::Active {
-            successor_faults.set_call_fault(call, fault).expect("a fault");
+            successor_faults.set_call_fault(call, fault).expect("set the fault");
         }
     };
     let mut active = fixture.start_with_faults(0, &active_faults);
@@ -47,7 +48,7 @@
     fixture.gate.wait_for_arrivals(1);
     let request = submit_request("late", 6, "c=pay,d=15000,dest=7", b"x");
     let (first_half, second_half) = request.split_at(request.len() / 2);
-    let mut active_connection = TcpStream::connect(fixture.listen).expect("a connection");
+    let mut active_connection = TcpStream::connect(fixture.listen).expect("connect");
     active_connection.write_all(first_half).expect("send the first half");
     // Its acceptance shows that the active process has accepted the connection above before its successor shares the socket.
     fixture.submit("behind", 0, "once");
@@ -98,9 +99,9 @@
     let fixture = upgrade_fixture();
     fixture.gate.open();
     let state = fixture.dir.path().join("state");
-    std::fs::create_dir_all(state.join("next")).expect("a folder");
+    std::fs::create_dir_all(state.join("next")).expect("create the folder");
     let locks = ["lock", "next/lock"].map(|name| {
-        let lock = File::create(state.join(name)).expect("a lock");
+        let lock = File::create(state.join(name)).expect("create the lock file");
         lock.try_lock().expect("no other holder of the lock");
         lock
     });
--- a/crates/relay/tests/handover/main.rs
+++ b/crates/relay/tests/handover/main.rs
@@ -21,11 +21,12 @@
 fn invalid_listen_descriptor_logs_one_line_and_exits_with_code_2() {
     let platform = Platform::start(0);
     let config = config(free_address(), platform.server.address, &[]);
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("create the folder");
     let file = dir.path().join("config.json");
     std::fs::write(&file, config.to_string()).expect("write the configuration");
     for (fd, expected) in [("seven", "no descriptor"), ("9", "not named to the program")] {
-        let out = relay_command(&file, dir.path()).env("NODE_ACCEPT_FD", fd).output().expect("a relay");
+        let out =
+            relay_command(&file, dir.path()).env("NODE_ACCEPT_FD", fd).output().expect("start the relay");
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!(out.status.code(), Some(2), "{text}");
         assert!(text.lines().count() == 1 && text.contains(expected), "{text}");
@@ -85,7 +86,7 @@
 #[test]
 fn connecting_call_at_a_handover_counts_as_not_sent() {
     let (listener, _fillers) = full_listener();
-    let full_address = listener.local_addr().expect("an address");
+    let full_address = listener.local_addr().expect("local address");
     let mut fixture = upgrade_fixture();
     fixture.config["known"]["members"] = json!([member("e1", full_address, 7, "single")]);
     fixture.config["settings"]["limits"]["dialTimeout"] = json!(20_000_000);
@@ -131,7 +132,7 @@
     let mut active = fixture.start(0);
     let _successor = fixture.start(1);
     std::fs::write(fixture.dir.path().join("state/handover.json"), b"\xff{\"format\": 99}")
-        .expect("a snapshot");
+        .expect("write the snapshot");
     active.terminate();
     assert!(active.exits_within(ms(3_600)));
     let log_text = "waits and breakers of the process before are not known";
--- a/crates/relay/tests/handover/process.rs
+++ b/crates/relay/tests/handover/process.rs
@@ -14,7 +14,7 @@
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     socket.bind(&any.into()).and_then(|()| socket.listen(128)).expect("a port");
     socket.set_cloexec(false).expect("clear close-on-exec");
-    let address = socket.local_addr().expect("an address").as_socket().expect("IPv4");
+    let address = socket.local_addr().expect("local address").as_socket().expect("IPv4");
     (socket, address)
 }
 
@@ -54,7 +54,7 @@
         let fd = fd.to_string();
         command.env("NODE_ACCEPT_FD", &fd).env("LISTEN_FDS", "1").env("LISTEN_FDS_FIRST_FD", &fd);
         command.envs(environment.iter().map(|(name, value)| (*name, value.as_str())));
-        let child = command.stderr(log).stdout(Stdio::null()).spawn().expect("a relay");
+        let child = command.stderr(log).stdout(Stdio::null()).spawn().expect("start the relay");
         Process { child, admin_address }
     }
 
@@ -84,14 +84,16 @@
 
     pub(crate) fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(std::process::Command::new("kill").args(["-s", name, &id]).status().expect("kill").success());
+        assert!(
+            std::process::Command::new("kill").args(["-s", name, &id]).status().expect("run kill").success()
+        );
     }
 
     /// Waits for the process to exit and returns whether it did so in time.
     pub(crate) fn exits_within(&mut self, limit: Duration) -> bool {
         let start = Instant::now();
         while start.elapsed() < limit {
-            if self.child.try_wait().expect("a state").is_some() {
+            if self.child.try_wait().expect("process status").is_some() {
                 return true;
             }
             sleep(ms(5));
--- a/crates/relay/tests/handover/stale_marker.rs
+++ b/crates/relay/tests/handover/stale_marker.rs
@@ -1,4 +1,4 @@
-//! State that a process publishes in the state folder is valid no longer than that process and its lock.
+//! State that a process publishes for other processes must not outlive it.
 
 use crate::support::*;
 use crate::upgrade::*;
@@ -14,19 +14,19 @@
 // process exited during a handover and left the marker file by which an active process states that it sends no new
 // messages. The next process failed to remove it for 6 s (EIO of unlink), then kept it and sent messages. At the next
 // upgrade its successor found the marker and accepted ordered messages, which waited in its spool while the active process
-// sent the next ones of their keys.
+// sent the next ones of their keys. The marker did not identify its writer.
 #[test]
 fn stale_handover_marker_lets_no_successor_accept_ordered_messages() {
     let fixture = upgrade_fixture();
     fixture.gate.open();
-    let faults = FaultControl::create(&fixture.dir.path().join("faults")).expect("a control file");
+    let faults = FaultControl::create(&fixture.dir.path().join("faults")).expect("create the control file");
     std::fs::write(fixture.dir.path().join("state/handing-over"), "").expect("write the marker");
-    faults.set_call_fault(SystemCall::FileUnlink, CallFault::always(libc::EIO)).expect("a fault");
+    faults.set_call_fault(SystemCall::FileUnlink, CallFault::always(libc::EIO)).expect("set the fault");
     let active = fixture.start_with_faults(0, &faults);
     wait_until_within(OPTIONAL_STEP_TIMEOUT * 2, "the active process to serve", || {
         fixture.log().contains("messages in its spool")
     });
-    faults.set_call_fault(SystemCall::FileUnlink, CallFault::default()).expect("no fault");
+    faults.set_call_fault(SystemCall::FileUnlink, CallFault::default()).expect("clear the fault");
     fixture.submit("m1", 5, "pay");
     wait_until("the active process to send", || fixture.endpoint.ids() == ["m1"]);
     let _successor = fixture.start(1);
@@ -48,7 +48,7 @@
     active.terminate();
     wait_until("the successor to accept ordered messages", || fixture.submit_reply("m1", 6, "pay") == "+OK");
     // An incomplete request: the stopping successor waits for the rest until its time is over.
-    let mut incomplete = TcpStream::connect(fixture.listen).expect("a connection");
+    let mut incomplete = TcpStream::connect(fixture.listen).expect("connect");
     incomplete.write_all(b"*5\r\n$7\r\nOUT.ADD\r\n").expect("send the first part");
     wait_until("the part to be received", || fixture.submit_reply("probe", 0, "once") == "+OK");
     successor.terminate();
@@ -88,18 +88,18 @@
     fixture.gate.wait_for_arrivals(1);
     fixture.submit("held", 5, "pay");
     fixture.submit("behind", 5, "pay");
-    let faults = FaultControl::create(&fixture.dir.path().join("faults")).expect("a control file");
+    let faults = FaultControl::create(&fixture.dir.path().join("faults")).expect("create the control file");
     faults.set_wall_clock_offset_ms(HOUR_MS).expect("step the clock");
     // A folder in place of the file makes every read of it fail.
     let [clock_file, moved_file] =
         ["state/clock", "state/clock.away"].map(|name| fixture.dir.path().join(name));
     std::fs::rename(&clock_file, &moved_file)
         .and_then(|()| std::fs::create_dir(&clock_file))
-        .expect("a folder");
+        .expect("replace the clock file by a folder");
     let _successor = fixture.start_with_faults(1, &faults);
     std::fs::remove_dir(&clock_file)
         .and_then(|()| std::fs::rename(&moved_file, &clock_file))
-        .expect("a file");
+        .expect("restore the clock file");
     active.signal("STOP");
     fixture.submit("beside", 0, "once");
     active.signal("CONT");
--- a/crates/relay/tests/handover/successor.rs
+++ b/crates/relay/tests/handover/successor.rs
@@ -92,7 +92,7 @@
     /// Maximum number of unanswered batches: enough to keep the connection busy if the client is delayed by some tens of
     /// milliseconds.
     const MAX_BATCHES: usize = 128;
-    let stream = TcpStream::connect(address).expect("a connection");
+    let stream = TcpStream::connect(address).expect("connect");
     let mut sending = stream.try_clone().expect("a stream");
     let (sent, batches) = std::sync::mpsc::sync_channel(MAX_BATCHES);
     let sender = thread::spawn(move || {
@@ -121,7 +121,7 @@
             }
         }
         drop((client, batches));
-        sender.join().expect("a sender");
+        sender.join().expect("sender thread");
         accepted
     })
 }
@@ -144,13 +144,13 @@
     // Several clients, since one that the machine delays may be idle for a moment and is disconnected then.
     let clients = ['a', 'b', 'c']
         .map(|name| start_pipelining_client(fixture.listen, name, may_be_accepted.clone(), answers.clone()));
-    wait_until("many answers", || answers.load(Ordering::SeqCst) > 10_000);
+    wait_until("many replies", || answers.load(Ordering::SeqCst) > 10_000);
     successor.terminate();
     sleep(NEAR_THE_END);
     may_be_accepted.store(true, Ordering::SeqCst);
     assert!(successor.exits_within(ms(600)));
     let acknowledged: BTreeSet<String> =
-        clients.into_iter().flat_map(|client| client.join().expect("a client")).collect();
+        clients.into_iter().flat_map(|client| client.join().expect("client thread")).collect();
     let spool = Spool::open(&fixture.dir.path().join("state/next"), u64::MAX / 4, 8, 8).expect("a spool");
     let accepted: BTreeSet<String> = spool
         .messages()
@@ -169,12 +169,12 @@
     let fixture = upgrade_fixture();
     fixture.gate.open();
     let active = fixture.start(0);
-    let faults = FaultControl::create(&fixture.dir.path().join("faults")).expect("a control file");
+    let faults = FaultControl::create(&fixture.dir.path().join("faults")).expect("create the control file");
     let _successor = fixture.start_with_faults(1, &faults);
     active.signal("STOP");
-    faults.set_call_fault(SystemCall::FileWrite, CallFault::always(libc::ENOSPC)).expect("a fault");
+    faults.set_call_fault(SystemCall::FileWrite, CallFault::always(libc::ENOSPC)).expect("set the fault");
     assert_eq!(fixture.submit_reply("m1", 0, "once"), "-BUSY");
-    faults.set_call_fault(SystemCall::FileWrite, CallFault::default()).expect("no fault");
+    faults.set_call_fault(SystemCall::FileWrite, CallFault::default()).expect("clear the fault");
     fixture.submit("m1", 0, "once");
     active.signal("KILL");
     fixture.wait_for_ownership(1);
--- a/crates/relay/tests/handover/under_load.rs
+++ b/crates/relay/tests/handover/under_load.rs
@@ -54,7 +54,7 @@
                     Some(c) => c,
                     None => {
                         if let Ok(stream) = TcpStream::connect(address) {
-                            stream.set_read_timeout(Some(ms(3_000))).expect("a time-out");
+                            stream.set_read_timeout(Some(ms(3_000))).expect("set the time-out");
                             Client(std::io::BufReader::new(stream))
                         } else {
                             sleep(ms(5));
@@ -122,8 +122,8 @@
     let members = vec![member("e1", endpoint.address, 7, "single")];
     let config = config(listen, platform.server.address, &members);
     platform.set_members(members);
-    let dir = tempfile::tempdir().expect("a folder");
-    std::fs::create_dir_all(dir.path().join("state")).expect("a folder");
+    let dir = tempfile::tempdir().expect("create the folder");
+    std::fs::create_dir_all(dir.path().join("state")).expect("create the folder");
     let fd = socket.as_raw_fd();
     let mut running = Process::start(&config, dir.path(), fd, 0);
     wait_until("the first process", || running.is_ready());
@@ -146,7 +146,7 @@
     sleep(ms(400));
     stop.store(true, Ordering::SeqCst);
     for client in clients {
-        client.join().expect("a client");
+        client.join().expect("client thread");
     }
     let seen = replies.lock().expect("lock the replies");
     // Each message ends by its deadline; the number of queued messages depends on the speed of the machine.
--- a/crates/relay/tests/handover/upgrade.rs
+++ b/crates/relay/tests/handover/upgrade.rs
@@ -34,8 +34,8 @@
     let members = vec![member("e1", endpoint.address, 7, "single")];
     let config = config(listen, platform.server.address, &members);
     platform.set_members(members);
-    let dir = tempfile::tempdir().expect("a folder");
-    std::fs::create_dir_all(dir.path().join("state")).expect("a folder");
+    let dir = tempfile::tempdir().expect("create the folder");
+    std::fs::create_dir_all(dir.path().join("state")).expect("create the folder");
     UpgradeFixture { gate, endpoint, platform, config, dir, socket, listen }
 }
 
@@ -47,7 +47,7 @@
         process
     }
 
-    /// Starts process `n`, whose system calls get the faults of the control file, and waits until it is ready.
+    /// Starts process `n`, whose system calls fail as the control file says, and waits until it is ready.
     pub(crate) fn start_with_faults(&self, n: usize, faults: &FaultControl) -> Process {
         let environment = Relay::fault_environment(faults);
         let fd = self.socket.as_raw_fd();
@@ -63,8 +63,7 @@
 
     /// Submits a message and returns the reply.
     pub(crate) fn submit_reply(&self, id: &str, key: u64, class: &str) -> String {
-        let mut client =
-            Client(std::io::BufReader::new(TcpStream::connect(self.listen).expect("a connection")));
+        let mut client = Client(std::io::BufReader::new(TcpStream::connect(self.listen).expect("connect")));
         let parameters = format!("c={class},d={},dest=7", TIME_TO_DEADLINE.as_millis());
         client.request(&submit_request(id, key, &parameters, b"x"))
     }
--- a/crates/relay/tests/operations.rs
+++ b/crates/relay/tests/operations.rs
@@ -19,8 +19,8 @@
 
 /// Sends the bytes and returns the whole response.
 fn response_to(address: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
+    let mut stream = TcpStream::connect(address).expect("connect");
+    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("set the time-out");
     let _ = stream.write_all(bytes);
     let mut text = String::new();
     let _ = stream.read_to_string(&mut text);
@@ -46,7 +46,12 @@
     let admin_address = free_address();
     config["mgmt"] = json!(admin_address.to_string());
     platform.set_members(members);
-    AdminFixture { dir: tempfile::tempdir().expect("a folder"), config, admin_address, _platform: platform }
+    AdminFixture {
+        dir: tempfile::tempdir().expect("create the folder"),
+        config,
+        admin_address,
+        _platform: platform,
+    }
 }
 
 #[test]
@@ -61,7 +66,7 @@
     assert_eq!(status_and_time(fixture.admin_address, b"\x16\x03\x01 not http\r\n\r\n").0, 400);
     // An incomplete request gets a 408 within a second, and silent connections delay no other request.
     let silent: Vec<TcpStream> =
-        (0..40).map(|_| TcpStream::connect(fixture.admin_address).expect("a connection")).collect();
+        (0..40).map(|_| TcpStream::connect(fixture.admin_address).expect("connect")).collect();
     let (status, elapsed) = status_and_time(fixture.admin_address, b"GET /status HTTP/1.1\r\nHost:");
     assert!(status == 408 && elapsed < ms(1_000), "{status} after {elapsed:?}");
     let (status, elapsed) = status_and_time(fixture.admin_address, b"GET /status HTTP/1.1\r\n\r\n");
@@ -125,8 +130,8 @@
     let mut fixture = admin_fixture(vec![]);
     fixture.config["mgmt"] = json!("nowhere");
     let file = fixture.dir.path().join("config.json");
-    std::fs::write(&file, fixture.config.to_string()).expect("a config");
-    let out = relay_command(&file, fixture.dir.path()).output().expect("a relay");
+    std::fs::write(&file, fixture.config.to_string()).expect("write the configuration");
+    let out = relay_command(&file, fixture.dir.path()).output().expect("start the relay");
     let text = String::from_utf8_lossy(&out.stderr).into_owned();
     assert_eq!(out.status.code(), Some(2), "{text}");
     assert!(text.lines().count() == 1 && text.contains("mgmt"), "{text}");
@@ -137,14 +142,14 @@
     let mut fixture = admin_fixture(vec![]);
     fixture.config["mgmt"] = json!(6379);
     let file = fixture.dir.path().join("config.json");
-    std::fs::write(&file, fixture.config.to_string()).expect("a config");
+    std::fs::write(&file, fixture.config.to_string()).expect("write the configuration");
     let mut relay = relay_command(&file, fixture.dir.path())
         .stderr(std::process::Stdio::null())
         .spawn()
-        .expect("a relay");
+        .expect("start the relay");
     let start = Instant::now();
     let code = loop {
-        if let Some(status) = relay.try_wait().expect("a state") {
+        if let Some(status) = relay.try_wait().expect("process status") {
             break status.code();
         }
         if start.elapsed() > ms(5_000) {
@@ -210,7 +215,7 @@
     assert!(text.trim_end().ends_with("# EOF"), "{text}");
     relay.signal("TERM");
     assert_eq!(relay.wait_for_exit_code(), Some(0));
-    let log = std::fs::read_to_string(fixture.dir.path().join("log")).expect("a log");
+    let log = std::fs::read_to_string(fixture.dir.path().join("log")).expect("read the log");
     assert!(log.contains("0 messages kept, 0 violations"), "{log}");
 }
 
--- a/crates/relay/tests/races.rs
+++ b/crates/relay/tests/races.rs
@@ -31,7 +31,7 @@
     let discovery = Server::start(discovery_without_watch_responses(
         json!({"revision": 2, "complete": true, "members": members}),
     ));
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("create the folder");
     let _relay = Relay::start(&config(free_address(), discovery.address, &members), dir.path());
     let calls = || discovery.requests().into_iter().filter(|r| r.path.starts_with("/catalog")).collect();
     wait_until("a watch and the request after it", || {
@@ -82,7 +82,7 @@
 #[test_case("KILL")]
 fn restart_while_connecting_still_sends_the_message(signal: &str) {
     let (listener, _fillers) = full_listener();
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("local address");
     let mut fixture = fixture(0, vec![member("e1", address, 7, "single")]);
     fixture.config["settings"]["limits"]["dialTimeout"] = json!(20_000_000);
     let mut relay = fixture.start_relay();
@@ -182,7 +182,7 @@
 
 // A connection in the accept queue when the relay disconnects clients must be served, even if its request arrives later: a
 // connection closed without a reply counts against the relay. A stopping relay waits 400 ms for the first request of a new
-// connection. On a busy machine the late request may arrive after that, and only then may it get no reply. The unit tests
+// connection; on a busy machine the late request may arrive after that, and only then may it get no reply. The unit tests
 // in `clients/tests.rs` check without a clock that a request in time is always served.
 #[test]
 fn connection_queued_when_the_listener_closes_is_served() {
@@ -386,7 +386,7 @@
 fn retry_connected_after_the_deduplication_window_is_not_sent() {
     let (gate, first) = gated_server(|| respond(500, "", ""));
     let (listener, fillers) = full_listener();
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("local address");
     let mut fixture = fixture(0, vec![member("e1", first.address, 7, "single")]);
     let classes = fixture.config["settings"]["classes"].as_array_mut().expect("classes");
     classes.push(json!({"name": "known", "aim": 1_500_000, "giveUp": 20_000_000, "importance": 1.0,
@@ -443,7 +443,7 @@
 #[test]
 fn connecting_call_is_not_sent_to_the_former_address_of_its_endpoint() {
     let (listener, fillers) = full_listener();
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("local address");
     let mut fixture = fixture(0, vec![member("e1", address, 7, "single")]);
     fixture.config["settings"]["limits"]["dialTimeout"] = json!(20_000_000);
     let relay = fixture.start_relay();
--- a/crates/relay/tests/relay/calls.rs
+++ b/crates/relay/tests/relay/calls.rs
@@ -108,7 +108,7 @@
 #[test]
 fn call_with_slow_connect_obeys_a_retry_after_received_meanwhile() {
     let (listener, fillers) = full_listener();
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("local address");
     let first = AtomicBool::new(true);
     let is_first = move |_: &Request| first.swap(false, Ordering::SeqCst);
     let rejecting =
@@ -129,9 +129,9 @@
 
 #[test]
 fn call_with_slow_connect_obeys_a_drain_reported_meanwhile() {
-    // The relay can't know when discovery published the drain, so it binds even within the grace after the relay read it.
+    // The relay can't know when discovery published the drain, so the drain binds even within the grace after the relay read it.
     let (listener, fillers) = full_listener();
-    let e1 = member("e1", listener.local_addr().expect("an address"), 7, "single");
+    let e1 = member("e1", listener.local_addr().expect("local address"), 7, "single");
     let other = Server::start(|_| ok());
     let fixture = fixture(0, vec![e1.clone()]);
     let relay = fixture.start_relay();
--- a/crates/relay/tests/relay/discovery.rs
+++ b/crates/relay/tests/relay/discovery.rs
@@ -80,8 +80,8 @@
     let endpoint = Server::start(|_| ok());
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
     let state = fixture.dir.path().join("state");
-    std::fs::create_dir_all(&state).expect("a folder");
-    std::fs::write(state.join("leaving"), b"\xff\0what\nno row\n").expect("a drain record");
+    std::fs::create_dir_all(&state).expect("create the folder");
+    std::fs::write(state.join("leaving"), b"\xff\0what\nno row\n").expect("write the drain record");
     let relay = fixture.start_relay();
     assert_eq!(relay.submit("m1", 0, "c=any,d=8000,dest=7", b""), "+OK");
     wait_until("the call", || endpoint.ids() == ["m1"]);
@@ -101,14 +101,14 @@
     wait_until("a rejected notification", || !fixture.platform.notifications().is_empty());
     let file = fixture.dir.path().join("config.json");
     // An unreadable configuration has no effect.
-    std::fs::write(&file, "{").expect("a config");
+    std::fs::write(&file, "{").expect("write the configuration");
     relay.signal("HUP");
     wait_until("the log line", || fixture.log().matches("the new configuration is not used").count() == 1);
     let (other, new) = (Platform::start(0), Server::start(|_| ok()));
     other.set_members(vec![member("e2", new.address, 8, "single")]);
     let mut config = fixture.config.clone();
     config["discovery"] = json!(other.server.address.to_string());
-    std::fs::write(&file, config.to_string()).expect("a config");
+    std::fs::write(&file, config.to_string()).expect("write the configuration");
     let start = Instant::now();
     relay.signal("HUP");
     wait_until("the notification", || other.notifications() == [r#"{"id":"m1","state":"failed"}"#]);
@@ -158,9 +158,9 @@
         config["settings"]["discovery"] = json!(mode);
         // An absurdly long span must not break the polling.
         config["settings"]["obligations"]["askWithin"] = json!(u64::MAX);
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("create the folder");
         let relay = Relay::start(&config, dir.path());
-        let log = || std::fs::read_to_string(dir.path().join("log")).expect("a log");
+        let log = || std::fs::read_to_string(dir.path().join("log")).expect("read the log");
         wait_until("the list", || log().contains("list 5:"));
         assert_eq!(relay.submit("m1", 0, "c=any,d=8000,dest=7", b"x"), "+OK");
         wait_until("the call", || endpoint.ids().iter().filter(|id| *id == "m1").count() > 0);
@@ -177,12 +177,12 @@
 fn discovery_that_starts_late_is_found() {
     let (_endpoint, handler) = recovering_discovery("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
     let address = free_address();
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("create the folder");
     let _relay = Relay::start(&config(free_address(), address, &[]), dir.path());
     sleep(ms(300));
     let _discovery = Server::on(std::net::TcpListener::bind(address).expect("the port"), handler);
     wait_until("the list", || {
-        std::fs::read_to_string(dir.path().join("log")).expect("a log").contains("list 5:")
+        std::fs::read_to_string(dir.path().join("log")).expect("read the log").contains("list 5:")
     });
 }
 
@@ -234,7 +234,7 @@
     let silent = Server::start(|_| ServerAction::Hang);
     let endpoint = Server::start(|_| ok());
     let members = [member("e1", endpoint.address, 7, "single")];
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("create the folder");
     let relay = Relay::start(&config(free_address(), silent.address, &members), dir.path());
     assert_eq!(relay.submit("m1", 0, "c=any,d=8000,dest=7", b"x"), "+OK");
     wait_until("the call", || endpoint.ids() == ["m1"]);
@@ -268,7 +268,7 @@
         .collect();
     let list = json!({"revision": 5, "complete": true, "members": members});
     // Four spaces of indentation for each level.
-    let text = serde_json::to_string_pretty(&list).expect("a text").replace("  ", "    ");
+    let text = serde_json::to_string_pretty(&list).expect("JSON text").replace("  ", "    ");
     let discovery = Server::start(move |request| {
         let is_watch = request.path.contains("index=5");
         if is_watch { ServerAction::Hang } else { respond(200, "", &text) }
--- a/crates/relay/tests/relay/restarts.rs
+++ b/crates/relay/tests/relay/restarts.rs
@@ -32,12 +32,14 @@
     std::fs::write(&file, text).expect("write the configuration");
     let log = fixture.dir.path().join("stderr");
     let mut command = relay_command(&file, fixture.dir.path());
-    let mut child =
-        command.stderr(std::fs::File::create(&log).expect("create the log")).spawn().expect("a relay");
+    let mut child = command
+        .stderr(std::fs::File::create(&log).expect("create the log"))
+        .spawn()
+        .expect("start the relay");
     // Bounds the wait for a process that starts in spite of the invalid configuration.
     let mut code = None;
     for _ in 0..1_000 {
-        code = child.try_wait().expect("a state").and_then(|status| status.code());
+        code = child.try_wait().expect("process status").and_then(|status| status.code());
         if code.is_some() {
             break;
         }
--- a/crates/relay/tests/relay/shared_ids.rs
+++ b/crates/relay/tests/relay/shared_ids.rs
@@ -45,10 +45,10 @@
     fixture.config["settings"]["quantum"] = LONG_DECISION_INTERVAL_US.into();
     let relay = fixture.start_relay();
     let request = submit_request("m1", 5, "c=pay,d=12000,dest=7", b"own");
-    let mut leaving = TcpStream::connect(relay.listen).expect("a connection");
-    leaving.write_all(&request).expect("a request");
+    let mut leaving = TcpStream::connect(relay.listen).expect("connect");
+    leaving.write_all(&request).expect("send the request");
     std::thread::sleep(READ_TIME);
-    socket2::SockRef::from(&leaving).set_linger(Some(Duration::ZERO)).expect("a reset");
+    socket2::SockRef::from(&leaving).set_linger(Some(Duration::ZERO)).expect("set the linger time");
     drop(leaving);
     assert_eq!(relay.client().request(&request), "+OK");
     wait_until("the delivery", || endpoint.ids().len() == 2);
@@ -63,7 +63,7 @@
     fixture.config["settings"]["quantum"] = LONG_DECISION_INTERVAL_US.into();
     let faults = fixture.fault_control();
     let relay = fixture.start_relay_with_faults(&faults);
-    faults.set_call_fault(SystemCall::FileWrite, CallFault::always(libc::ENOSPC)).expect("a fault");
+    faults.set_call_fault(SystemCall::FileWrite, CallFault::always(libc::ENOSPC)).expect("set the fault");
     let request = submit_request("m1", 5, "c=pay,d=12000,dest=7", b"own");
     let mut clients = [relay.client(), relay.client()];
     for client in &mut clients {
--- a/crates/relay/tests/stored_data.rs
+++ b/crates/relay/tests/stored_data.rs
@@ -24,7 +24,7 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis() as u64
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_millis() as u64
 }
 
 /// Adds `shift_ms` to the little-endian number at `offset`, whose unit is 1/`per_ms` of a millisecond.
@@ -96,7 +96,7 @@
 /// Writes a spool of the fixtures into the state folder with its times shifted to the present.
 fn write_shifted_spool(state: &Path, name: &str) {
     let log = std::fs::read(fixture_path(name)).expect("a spool");
-    std::fs::write(state.join(name), shifted_spool(&log, shift_to_now_ms())).expect("written");
+    std::fs::write(state.join(name), shifted_spool(&log, shift_to_now_ms())).expect("write the file");
 }
 
 /// Writes the files of the active process into the state folder as if it had just exited; returns the snapshot as written.
@@ -104,17 +104,18 @@
     let shift_ms = shift_to_now_ms();
     write_shifted_spool(state, "spool.log");
     let read = |name: &str| std::fs::read_to_string(fixture_path(name)).expect("a fixture");
-    std::fs::write(state.join("leaving"), shifted_drain_record(&read("leaving"), shift_ms)).expect("written");
-    std::fs::write(state.join("maintenance"), read("maintenance")).expect("written");
+    std::fs::write(state.join("leaving"), shifted_drain_record(&read("leaving"), shift_ms))
+        .expect("write the file");
+    std::fs::write(state.join("maintenance"), read("maintenance")).expect("write the file");
     let snapshot = shifted_snapshot(&read("handover.json"), shift_ms);
-    std::fs::write(state.join("handover.json"), snapshot.to_string()).expect("written");
+    std::fs::write(state.join("handover.json"), snapshot.to_string()).expect("write the file");
     snapshot
 }
 
 /// Takes the lock by which a successor recognises an active process.
 fn hold_active_lock(state: &Path) -> File {
-    std::fs::create_dir_all(state).expect("a folder");
-    let lock = File::create(state.join("lock")).expect("a lock");
+    std::fs::create_dir_all(state).expect("create the folder");
+    let lock = File::create(state.join("lock")).expect("create the lock file");
     lock.try_lock().expect("no other holder of the lock");
     lock
 }
@@ -173,9 +174,9 @@
 
     /// Sends a POST to the admin address and returns whether the response is a 200.
     fn call(&self, path: &str) -> bool {
-        let mut stream = TcpStream::connect(self.admin_address).expect("a connection");
-        stream.set_read_timeout(Some(ms(5_000))).expect("a time-out");
-        write!(stream, "POST {path} HTTP/1.1\r\nHost: relay\r\n\r\n").expect("written");
+        let mut stream = TcpStream::connect(self.admin_address).expect("connect");
+        stream.set_read_timeout(Some(ms(5_000))).expect("set the time-out");
+        write!(stream, "POST {path} HTTP/1.1\r\nHost: relay\r\n\r\n").expect("send the request");
         let mut text = String::new();
         let _ = stream.read_to_string(&mut text);
         text.starts_with("HTTP/1.1 200")
@@ -216,7 +217,7 @@
 fn restart_on_state_of_the_previous_version_delivers_messages_and_keeps_drain_and_maintenance() {
     let destinations = destinations();
     let state = destinations.state();
-    std::fs::create_dir_all(state.join("next")).expect("a folder");
+    std::fs::create_dir_all(state.join("next")).expect("create the folder");
     write_shifted_state(&state);
     write_shifted_spool(&state, "next/spool.log");
     let relay = destinations.fixture.start_relay();
@@ -287,10 +288,10 @@
     // Shifted far enough ahead that none of its times passes during the test.
     let text = std::fs::read_to_string(fixture_path("handover.json")).expect("a fixture");
     let snapshot = shifted_snapshot(&text, shift_to_now_ms() + 8_000);
-    std::fs::write(state.join("handover.json"), snapshot.to_string()).expect("written");
+    std::fs::write(state.join("handover.json"), snapshot.to_string()).expect("write the file");
     drop(active_lock);
     let read = || -> Value {
-        let text = std::fs::read_to_string(state.join("handover.json")).expect("a snapshot");
+        let text = std::fs::read_to_string(state.join("handover.json")).expect("read the snapshot");
         serde_json::from_str(&text).expect("JSON")
     };
     wait_until("the successor's own snapshot", || read()["written_ms"] != snapshot["written_ms"]);
@@ -319,15 +320,15 @@
     let mut log = std::fs::read(fixture_path("spool.log")).expect("a fixture");
     let incomplete_record = [200, 0, 0, 0, 1, 2, 3, 4, b'M'];
     log.extend(incomplete_record);
-    std::fs::write(state.join("spool.log"), &log).expect("written");
+    std::fs::write(state.join("spool.log"), &log).expect("write the file");
     let compacted = b"a log that is being compacted";
-    std::fs::write(state.join("spool.new"), compacted).expect("written");
+    std::fs::write(state.join("spool.new"), compacted).expect("write the file");
     let relay = destinations.fixture.start_relay();
     wait_until("the process to start as a successor", || {
         destinations.fixture.log().contains("another process owns the state folder")
     });
     assert_eq!(relay.submit("from-successor", 0, "c=any,d=15000,dest=10", b""), "+OK");
-    assert_eq!(std::fs::read(state.join("spool.log")).expect("a log"), log);
-    assert_eq!(std::fs::read(state.join("spool.new")).expect("a log"), compacted);
+    assert_eq!(std::fs::read(state.join("spool.log")).expect("read the log"), log);
+    assert_eq!(std::fs::read(state.join("spool.new")).expect("read the log"), compacted);
     drop(active_lock);
 }
--- a/crates/relay/tests/support/client.rs
+++ b/crates/relay/tests/support/client.rs
@@ -21,7 +21,7 @@
 
 impl Client {
     pub(crate) fn send(&mut self, bytes: &[u8]) {
-        self.0.get_mut().write_all(bytes).expect("written");
+        self.0.get_mut().write_all(bytes).expect("send the request");
     }
 
     /// Reads one reply line without its line end; empty once the connection is closed.
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -14,7 +14,7 @@
     Duration::from_millis(n)
 }
 
-/// Returns whether a TCP connection to the address is being established.
+/// Returns whether a TCP connection to the address is in progress: requested, but not established.
 pub(crate) fn is_connecting(address: SocketAddr) -> bool {
     let SocketAddr::V4(address) = address else { return false };
     let remote = format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port());
--- a/crates/relay/tests/support/process.rs
+++ b/crates/relay/tests/support/process.rs
@@ -59,7 +59,7 @@
     command
 }
 
-/// Path of the library that injects faults into system calls of a relay; cargo builds it next to this test program.
+/// Returns the path of the library that injects faults into system calls of a relay; cargo builds it next to this test program.
 fn fault_shim() -> PathBuf {
     let program = std::env::current_exe().expect("path of the test program");
     let shim = program.with_file_name("libmountshift_fault_shim.so");
@@ -89,7 +89,7 @@
         Relay::start_with_environment(config, dir, &Vec::from_iter(discovery))
     }
 
-    /// Starts a relay whose system calls get the faults of the control file.
+    /// Starts a relay whose system calls fail as the control file says.
     pub(crate) fn start_with_faults(config: &Value, dir: &Path, faults: &FaultControl) -> Relay {
         Relay::start_with_environment(config, dir, &Relay::fault_environment(faults))
     }
@@ -117,19 +117,19 @@
     fn spawn_with_environment(config: &Value, dir: &Path, environment: &[(&str, String)]) -> Relay {
         let (file, state) = (dir.join("config.json"), dir.join("state"));
         std::fs::write(&file, config.to_string()).expect("write the configuration");
-        std::fs::create_dir_all(&state).expect("a folder");
+        std::fs::create_dir_all(&state).expect("create the folder");
         let log =
             std::fs::File::options().create(true).append(true).open(dir.join("log")).expect("open the log");
         let mut command = relay_command(&file, &state);
         command.envs(environment.iter().map(|(name, value)| (*name, value.as_str())));
-        let child = command.stderr(log).stdout(Stdio::null()).spawn().expect("a relay");
+        let child = command.stderr(log).stdout(Stdio::null()).spawn().expect("start the relay");
         let listen = config["listen"].as_str().and_then(|a| a.parse().ok()).expect("an address");
         Relay { child, listen }
     }
 
     pub(crate) fn client(&self) -> Client {
-        let stream = TcpStream::connect(self.listen).expect("a connection");
-        stream.set_read_timeout(Some(Duration::from_secs(8))).expect("a time-out");
+        let stream = TcpStream::connect(self.listen).expect("connect");
+        stream.set_read_timeout(Some(Duration::from_secs(8))).expect("set the time-out");
         Client(BufReader::new(stream))
     }
 
@@ -140,10 +140,10 @@
 
     pub(crate) fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-s", name, &id]).status().expect("kill").success());
+        assert!(Command::new("kill").args(["-s", name, &id]).status().expect("run kill").success());
     }
 
-    /// Returns the lowest descriptor number that the process has not open. With this as its limit it can open no other.
+    /// Returns the lowest unused descriptor number of the process. With this as its limit it can open no more descriptors.
     pub(crate) fn first_free_descriptor(&self) -> u64 {
         let is_open = |number: &u64| Path::new(&format!("/proc/{}/fd/{number}", self.child.id())).exists();
         (0..).find(|number| !is_open(number)).expect("a free descriptor")
@@ -155,7 +155,7 @@
         let resource = rustix::process::Resource::Nofile;
         let maximum = rustix::process::getrlimit(resource).maximum;
         let limit = rustix::process::Rlimit { current: limit, maximum };
-        rustix::process::prlimit(Some(process), resource, limit).expect("a limit").current
+        rustix::process::prlimit(Some(process), resource, limit).expect("set the limit").current
     }
 
     /// Returns whether a SIGSTOP has taken effect.
@@ -168,7 +168,7 @@
     pub(crate) fn exit_code_within(&mut self, limit: Duration) -> Option<i32> {
         let start = Instant::now();
         while start.elapsed() < limit {
-            if let Some(status) = self.child.try_wait().expect("a state") {
+            if let Some(status) = self.child.try_wait().expect("process status") {
                 return status.code();
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -178,7 +178,7 @@
 
     /// Waits until the process exits and returns its exit code.
     pub(crate) fn wait_for_exit_code(&mut self) -> Option<i32> {
-        self.child.wait().expect("an end").code()
+        self.child.wait().expect("exit status").code()
     }
 }
 
@@ -195,7 +195,7 @@
     let platform = Platform::start(rejected);
     let config = config(free_address(), platform.server.address, &members);
     platform.set_members(members);
-    Fixture { dir: tempfile::tempdir().expect("a folder"), platform, config }
+    Fixture { dir: tempfile::tempdir().expect("create the folder"), platform, config }
 }
 
 impl Fixture {
@@ -209,10 +209,10 @@
 
     /// Creates a control file without faults.
     pub(crate) fn fault_control(&self) -> FaultControl {
-        FaultControl::create(&self.dir.path().join("faults")).expect("a control file")
+        FaultControl::create(&self.dir.path().join("faults")).expect("create the control file")
     }
 
-    /// Starts a relay whose system calls get the faults of the control file.
+    /// Starts a relay whose system calls fail as the control file says.
     pub(crate) fn start_relay_with_faults(&self, faults: &FaultControl) -> Relay {
         Relay::start_with_faults(&self.config, self.dir.path(), faults)
     }
@@ -227,7 +227,7 @@
 
     /// Returns the size of the files in the state folder in bytes, each rounded up to blocks of 512.
     pub(crate) fn disk_usage(&self) -> u64 {
-        let files = std::fs::read_dir(self.dir.path().join("state")).expect("a folder").flatten();
+        let files = std::fs::read_dir(self.dir.path().join("state")).expect("read the folder").flatten();
         files.map(|f| f.metadata().map_or(0, |m| m.len().div_ceil(512) * 512)).sum()
     }
 }
--- a/crates/relay/tests/support/server.rs
+++ b/crates/relay/tests/support/server.rs
@@ -103,7 +103,7 @@
         handler: impl Fn(&Request) -> ServerAction + Send + Sync + 'static,
     ) -> Server {
         let server = Server {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("local address"),
             received: Arc::default(),
             call_ends: Arc::default(),
         };
@@ -225,7 +225,7 @@
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     listener.bind(&any.into()).and_then(|()| listener.listen(0)).expect("a port");
     let listener: TcpListener = listener.into();
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("local address");
     let fill = |_| {
         let filler = socket();
         filler.set_nonblocking(true).expect("non-blocking mode");
