--- a/crates/lab/benches/day.rs
+++ b/crates/lab/benches/day.rs
@@ -1,4 +1,4 @@
-//! What a day of the model costs: the decisions, the judge and the world together, by size.
+//! Cost of simulated days of several sizes: the decisions, the invariant checker and the model together.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use mountshift_lab::day::{Day, DayOptions};
@@ -12,10 +12,10 @@
     for name in ["calm", "everything", "crowd-outage"] {
         let path = format!("{}/../../examples/scenarios/{name}.toml", env!("CARGO_MANIFEST_DIR"));
         let scenario = Scenario::read(path.as_ref()).expect("a scenario");
-        let play = DayOptions { policy: PolicyKind::Mountshift, seed: 1, keep_timeline: false };
-        let messages = Day::new(&scenario, play).run().messages;
+        let options = DayOptions { policy: PolicyKind::Mountshift, seed: 1, keep_timeline: false };
+        let messages = Day::new(&scenario, options).run().messages;
         group.throughput(Throughput::Elements(messages));
-        group.bench_function(name, |b| b.iter(|| black_box(Day::new(&scenario, play).run())));
+        group.bench_function(name, |b| b.iter(|| black_box(Day::new(&scenario, options).run())));
     }
     group.finish();
 }
--- a/crates/lab/src/baselines/circuit_breaker.rs
+++ b/crates/lab/src/baselines/circuit_breaker.rs
@@ -1,30 +1,31 @@
-//! A circuit breaker as textbooks have it: failures in a row open it, and after a delay one trial decides.
+//! A textbook circuit breaker: consecutive failures open it, and after a delay the outcome of one trial closes it or
+//! opens it again.
 
 use mountshift::interface::{MessageId, Outcome};
 use std::time::Duration;
 
-/// Consecutive failures that open the breaker.
+/// Number of consecutive failures that opens the breaker.
 const FAILURE_THRESHOLD: u32 = 5;
-/// How long it stays open before the trial.
+/// Time for which the breaker stays open before the trial.
 const RECOVERY_DELAY: Duration = Duration::from_millis(5_000);
 
 /// The breaker of one destination.
 #[derive(Clone, Copy, Default)]
 pub(super) struct CircuitBreaker {
     consecutive_failures: u32,
-    /// Set from the failure that opened it until a delivery closes it.
+    /// Earliest time of the trial; set from the failure that opens the breaker until a delivery closes it.
     open_until: Option<Duration>,
     /// The message of the trial that is in flight.
     trial: Option<MessageId>,
 }
 
 impl CircuitBreaker {
-    /// True unless it is open or waits for the outcome of its trial.
+    /// Returns whether an attempt may be sent: the breaker is neither open nor waits for the outcome of its trial.
     pub(super) fn allows(&self, now: Duration) -> bool {
         self.trial.is_none() && self.open_until.is_none_or(|until| until <= now)
     }
 
-    /// The first attempt after the recovery delay is the trial.
+    /// Records an attempt; the first one after the recovery delay is the trial.
     pub(super) fn record_attempt(&mut self, message: MessageId) {
         if self.open_until.is_some() {
             self.trial = Some(message);
@@ -48,7 +49,7 @@
     }
 }
 
-/// True where the outcome speaks against the destination's health.
+/// Returns whether the outcome indicates that the destination is unhealthy.
 fn is_failure(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Delivered
--- a/crates/lab/src/baselines/jitter.rs
+++ b/crates/lab/src/baselines/jitter.rs
@@ -1,9 +1,9 @@
-//! Reproducible random numbers of a baseline: by seed, relay and number of the draw.
+//! Reproducible random numbers of a baseline, derived from the seed, the relay and the number of the draw.
 
 use mountshift::interface::{PolicySettings, RelayId};
 use std::hash::Hasher;
 
-/// A seeded random source. The order of the draws is part of what a day comes to.
+/// A seeded random source. The order of the draws affects the result of a day.
 pub(super) struct Jitter {
     seed: u64,
     relay: RelayId,
@@ -15,7 +15,7 @@
         Jitter { seed: settings.seed, relay: settings.relay, draws: 0 }
     }
 
-    /// The next number, from 0 up to but without 1.
+    /// Returns the next number from the half-open range 0 to 1.
     pub(super) fn draw(&mut self) -> f64 {
         self.draws += 1;
         let mut hasher = siphasher::sip::SipHasher13::new_with_keys(self.seed, self.draws);
--- a/crates/lab/src/baselines/mod.rs
+++ b/crates/lab/src/baselines/mod.rs
@@ -1,6 +1,6 @@
-//! The baselines: what textbooks do, behind the same interface as the project's decisions. All keep the rules on
-//! attempts, order, drains and Retry-After, so that what differs is when and where they send; none has a slow
-//! start.
+//! The baselines: textbook policies behind the same interface as the project's decisions. All follow the rules on
+//! attempts, order, drains and Retry-After, so that they differ only in when and where they send. No baseline has a
+//! slow start.
 
 mod backoff;
 mod circuit_breaker;
@@ -21,12 +21,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An attempt's share of the time left until the deadline, so that a retry still fits behind it.
+/// Timeout of an attempt as a share of the time left until the deadline, so that a retry still fits in.
 const ATTEMPT_TIMEOUT_SHARE: f64 = 0.5;
-/// The least that an attempt gets: shorter ones would time out on ordinary answers.
+/// Shortest timeout of an attempt; below it attempts would time out on ordinary answers.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Which textbook rule a baseline follows.
+/// The textbook rule that a baseline follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BaselineKind {
     /// No retries.
@@ -39,7 +39,7 @@
     CircuitBreaker,
     /// Backoff, and the endpoint with the fewest calls in flight.
     LeastInFlight,
-    /// Sends where the true state of the model says that a call is accepted.
+    /// Sends only to endpoints that accept a call according to the true state of the model.
     Omniscient,
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Messages that may be sent now, the first to be sent first.
+    /// Returns the messages that may be sent now, in the order of sending.
     fn send_order(&self) -> Vec<MessageId> {
         let mut order = self.state.waiting();
         if self.kind == BaselineKind::Omniscient {
@@ -94,7 +94,7 @@
         order
     }
 
-    /// True if the baseline's own rule lets the message be sent now.
+    /// Returns whether the baseline's own rule allows the message to be sent now.
     fn may_attempt(&self, message: MessageId, destination: DestinationId) -> bool {
         let now = self.state.now;
         let is_retry = self.backoff.has_failed(message);
@@ -110,7 +110,7 @@
         breaker_allows && self.backoff.allows(message, now) && (may_retry || !is_retry)
     }
 
-    /// Where the message goes; none if nowhere is permitted.
+    /// Selects an endpoint for the message; `None` if no endpoint is permitted.
     fn select_endpoint(
         &mut self,
         message: MessageId,
@@ -131,14 +131,14 @@
     }
 
     fn attempt_timeout(&self, message: MessageId) -> Duration {
-        let left = self.state.time_left(message);
+        let time_left = self.state.time_left(message);
         if self.kind == BaselineKind::Omniscient {
-            return left;
+            return time_left;
         }
-        left.mul_f64(ATTEMPT_TIMEOUT_SHARE).max(MIN_ATTEMPT_TIMEOUT).min(left)
+        time_left.mul_f64(ATTEMPT_TIMEOUT_SHARE).max(MIN_ATTEMPT_TIMEOUT).min(time_left)
     }
 
-    /// Sends the message if its turn has come and an endpoint is permitted.
+    /// Sends the message if the baseline's rule and an endpoint permit it.
     fn try_send(&mut self, message: MessageId, truth: Option<&mut GroundTruth>, actions: &mut dyn Actions) {
         let Some(destination) = self.state.destination(message) else { return };
         if !self.may_attempt(message, destination) {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Counts a message sent in this step; true if a call of its own begins with it.
+    /// Counts a message sent in this step; returns whether it is the first of a new call.
     fn count_in_batch(&mut self, endpoint: EndpointId) -> bool {
         let max_batch = self.state.max_batch(endpoint);
         let sent = self.sent_in_step.entry(endpoint).or_default();
@@ -169,7 +169,7 @@
     }
 }
 
-/// Subtracts a call from the ground truth, and does what a policy that knows of dead connections does first.
+/// Subtracts a call from the ground truth, and closes idle connections that may be stale.
 fn account_for_call(truth: &mut GroundTruth, endpoint: EndpointId, actions: &mut dyn Actions) {
     let endpoint_truth = &mut truth.endpoints[selection::endpoint_position(endpoint)];
     endpoint_truth.spare_capacity -= 1.0;
@@ -197,8 +197,8 @@
             }
             self.state.apply(input);
         }
-        let gives_up = self.kind == BaselineKind::SingleAttempt;
-        self.state.fail_exhausted(actions, |message| gives_up && self.backoff.has_failed(message));
+        let never_retries = self.kind == BaselineKind::SingleAttempt;
+        self.state.fail_exhausted(actions, |message| never_retries && self.backoff.has_failed(message));
         for message in self.send_order() {
             if self.state.at_call_limit() {
                 break;
--- a/crates/lab/src/baselines/retry_budget.rs
+++ b/crates/lab/src/baselines/retry_budget.rs
@@ -1,11 +1,12 @@
-//! A retry budget: first attempts earn the retries, so that retries can't multiply the load of an outage.
+//! A retry budget: each first attempt adds a fraction of a retry, so that retries can't multiply the load during an
+//! outage.
 
-/// Retries that each first attempt earns.
+/// Retries that each first attempt adds to the budget.
 const RETRIES_PER_FIRST_ATTEMPT: f64 = 0.1;
-/// Retries that may be saved up: enough for a short burst of failures.
+/// Largest number of retries in the budget: enough for a short burst of failures.
 const MAX_BALANCE: f64 = 10.0;
 
-/// The retries that may be sent now.
+/// The budget of retries.
 #[derive(Default)]
 pub(super) struct RetryBudget {
     balance: f64,
--- a/crates/lab/src/baselines/selection.rs
+++ b/crates/lab/src/baselines/selection.rs
@@ -1,29 +1,29 @@
-//! Which of the permitted endpoints an attempt goes to.
+//! Selection of one of the permitted endpoints for an attempt.
 
 use super::state::BaselineState;
 use crate::policy::{EndpointTruth, GroundTruth};
 use mountshift::interface::EndpointId;
 use std::collections::BTreeMap;
 
-/// Any one, chosen by a random number from 0 to 1.
+/// Selects an endpoint by a random number from 0 to 1.
 pub(super) fn random(candidates: &[EndpointId], random: f64) -> Option<EndpointId> {
     let position = (random * candidates.len() as f64) as usize;
     candidates.get(position).copied()
 }
 
-/// The one with the fewest calls in flight.
+/// Selects the endpoint with the fewest calls in flight.
 pub(super) fn least_in_flight(candidates: &[EndpointId], state: &BaselineState) -> Option<EndpointId> {
     candidates.iter().copied().min_by_key(|endpoint| (state.calls_in_flight(*endpoint), *endpoint))
 }
 
-/// The available one with the most spare capacity; none if no endpoint would accept the call.
+/// Selects the available endpoint with the most spare capacity; `None` if no endpoint would accept the call.
 pub(super) fn omniscient(
     candidates: &[EndpointId],
     state: &BaselineState,
     truth: &GroundTruth,
     sent_in_step: &BTreeMap<EndpointId, usize>,
 ) -> Option<EndpointId> {
-    // What joins a batch that is sent anyway needs no capacity of its own.
+    // A message that joins the batch of a call that is sent anyway needs no capacity of its own.
     let joins_batch = |endpoint: EndpointId| {
         sent_in_step.get(&endpoint).is_some_and(|sent| !sent.is_multiple_of(state.max_batch(endpoint)))
     };
@@ -41,12 +41,12 @@
     })
 }
 
-/// What is not known is not available.
+/// Returns the true state of an endpoint; an unknown endpoint counts as not available.
 fn truth_of(truth: &GroundTruth, endpoint: EndpointId) -> EndpointTruth {
     truth.endpoints.get(endpoint_position(endpoint)).copied().unwrap_or_default()
 }
 
-/// The position of an endpoint in the ground truth: the model's ids count from 1.
+/// Returns the position of an endpoint in the ground truth; the ids of the interface start at 1.
 pub(super) fn endpoint_position(endpoint: EndpointId) -> usize {
     endpoint.0 as usize - 1
 }
--- a/crates/lab/src/baselines/state.rs
+++ b/crates/lab/src/baselines/state.rs
@@ -1,26 +1,28 @@
-//! What every baseline keeps, and the rules that all of them follow: one attempt at a time, order by key, no
-//! attempt to a draining endpoint or before a Retry-After, a final answer in time. It decides nothing else.
+//! The state that all baselines share, and the rules that all of them follow: one attempt at a time, order by key, no
+//! attempt to a draining endpoint or before a Retry-After expires, and a final answer in time. All other decisions are
+//! made by the baselines.
 
 use mountshift::interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// How often a baseline that holds messages looks at them again.
+/// Interval between the steps of a baseline that holds messages.
 const WAKE_INTERVAL: Duration = Duration::from_millis(20);
-/// A message fails this much before its deadline, so that the answer is out in time: two wakes.
+/// Time before its deadline at which a message fails, so that the answer is sent in time: two wake intervals.
 const ANSWER_MARGIN: Duration = Duration::from_millis(40);
-/// An idempotency key counts as forgotten this much before its window ends: a call needs time on its way.
+/// Time before the end of its window at which an idempotency key counts as expired, because a call needs time to
+/// arrive.
 const WINDOW_MARGIN: Duration = Duration::from_millis(1);
 
 struct Message {
     submission: Submission,
     attempts: u8,
-    /// Attempts that may have run.
+    /// Number of attempts that may have run.
     possible_runs: u32,
     in_flight: bool,
-    /// When and where the first attempt that may have run was sent.
+    /// Time and zone of the first attempt that may have run.
     first_possible_run: Option<(Duration, ZoneId)>,
-    /// Its final answer is given, but not taken yet or overtaken by an attempt in flight.
+    /// Whether the final answer is given while its acknowledgement is pending or an attempt is in flight.
     has_final_answer: bool,
 }
 
@@ -53,7 +55,7 @@
         }
     }
 
-    /// True if one more attempt can't do harm.
+    /// Returns whether another attempt is safe.
     fn may_be_repeated(&self, idempotency: Idempotency, now: Duration) -> bool {
         match (idempotency, self.first_possible_run) {
             (Idempotency::Idempotent, _) | (_, None) => true,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// The only zone that recognises a repeat, where the message may have run and its class has it so.
+    /// Returns the only zone that recognizes a repeat, if the message may have run and its class deduplicates per zone.
     fn required_zone(&self, idempotency: Idempotency) -> Option<ZoneId> {
         match idempotency {
             Idempotency::WithKey { scope: DeduplicationScope::SameZone, .. } => {
@@ -93,20 +95,21 @@
 #[derive(Default)]
 struct KeyQueue {
     queue: VecDeque<MessageId>,
-    /// An attempt of `held_off_by` may still be running: other messages wait until then.
+    /// End of the hold-off, during which an attempt of `hold_off_message` may still be running and other messages wait.
     hold_off_until: Duration,
-    held_off_by: Option<MessageId>,
+    hold_off_message: Option<MessageId>,
 }
 
 impl KeyQueue {
-    /// True if it is the message's turn.
+    /// Returns whether it is the message's turn.
     fn allows(&self, message: MessageId, now: Duration) -> bool {
-        let held_off = now < self.hold_off_until && self.held_off_by != Some(message);
-        self.queue.front() == Some(&message) && !held_off
+        let is_blocked = now < self.hold_off_until && self.hold_off_message != Some(message);
+        self.queue.front() == Some(&message) && !is_blocked
     }
 }
 
-/// What shares a rate limit: a destination, or one endpoint of it where its kind has it so.
+/// The scope of a Retry-After: a destination, or one of its endpoints where the destination's kind has independent
+/// endpoints.
 type Route = (DestinationId, Option<EndpointId>);
 
 /// The state that all baselines share.
@@ -117,7 +120,7 @@
     /// Messages without an attempt in flight or a final answer.
     idle: BTreeSet<MessageId>,
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    /// In the order in which they were first listed.
+    /// Endpoints of each destination, in the order in which they were first listed.
     endpoints_of: BTreeMap<DestinationId, Vec<EndpointId>>,
     retry_after_until: BTreeMap<Route, Duration>,
     key_queues: BTreeMap<OrderingKey, KeyQueue>,
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Takes an input in.
+    /// Applies an input to the state.
     pub(super) fn apply(&mut self, input: Input) {
         match input {
             Input::Submitted { message, submission } => self.on_submitted(message, submission),
@@ -156,7 +159,7 @@
             Input::FullListBegins => self.on_full_list(),
             Input::EndpointListed(listed) => self.on_endpoint_listed(listed),
             Input::Closed(message) => self.on_closed(message),
-            // The baselines poll nothing, and nothing of theirs outlives a process.
+            // The baselines neither poll nor keep state across restarts.
             Input::RateLimitReported { .. }
             | Input::ListReceived
             | Input::ListMayBeStale
@@ -184,7 +187,7 @@
         if may_have_run {
             message.record_possible_run(at, zone);
             let key = message.submission.key;
-            self.hold_off(key, id);
+            self.start_hold_off(key, id);
         }
     }
 
@@ -199,7 +202,7 @@
             endpoint.calls_in_flight -= 1;
         }
         if run == RunState::MayBeRunning {
-            self.hold_off(key, id);
+            self.start_hold_off(key, id);
         }
         if let Outcome::Rejected { retry_after } = outcome {
             self.on_retry_after(endpoint, retry_after);
@@ -219,7 +222,7 @@
         *until = (*until).max(self.now + span);
     }
 
-    /// What the entries behind it don't name is no longer ready.
+    /// Marks all endpoints as not ready; the entries of the list that follow mark the listed ones again.
     fn on_full_list(&mut self) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.ready = false;
@@ -256,12 +259,12 @@
         }
     }
 
-    /// Has other messages of the key wait, as an attempt of this one may still be running.
-    fn hold_off(&mut self, key: Option<OrderingKey>, by: MessageId) {
+    /// Starts the hold-off of a key for messages other than `message`, whose attempt may still be running.
+    fn start_hold_off(&mut self, key: Option<OrderingKey>, message: MessageId) {
         let until = self.now + self.settings.order_hold_off;
         if let Some(key_queue) = key.and_then(|key| self.key_queues.get_mut(&key)) {
             key_queue.hold_off_until = until;
-            key_queue.held_off_by = Some(by);
+            key_queue.hold_off_message = Some(message);
         }
     }
 
@@ -282,41 +285,41 @@
         (endpoint.destination, if independent { Some(id) } else { None })
     }
 
-    /// Where the message goes; none if it is not held.
+    /// Returns the destination of a message, if the message is held.
     pub(super) fn destination(&self, id: MessageId) -> Option<DestinationId> {
         self.messages.get(&id).map(|message| message.submission.destination)
     }
 
-    /// The time left until the message's deadline.
+    /// Returns the time left until the message's deadline.
     pub(super) fn time_left(&self, id: MessageId) -> Duration {
         let deadline = self.messages.get(&id).map(|message| message.submission.deadline);
         deadline.unwrap_or_default().saturating_sub(self.now)
     }
 
-    /// The time by which the message's delivery earns its full weight.
+    /// Returns the time up to which the message's delivery counts with its full weight.
     pub(super) fn latency_target(&self, id: MessageId) -> Duration {
         let Some(message) = self.messages.get(&id) else { return Duration::ZERO };
         let class = self.class_of(message);
         (message.submission.deadline + class.latency_objective).saturating_sub(class.deadline)
     }
 
-    /// Calls in flight to an endpoint.
+    /// Returns the number of attempts in flight to an endpoint.
     pub(super) fn calls_in_flight(&self, id: EndpointId) -> u32 {
         self.endpoints.get(&id).map_or(0, |endpoint| endpoint.calls_in_flight)
     }
 
-    /// Messages in one call to an endpoint at most.
+    /// Returns the largest number of messages in one call to an endpoint.
     pub(super) fn max_batch(&self, id: EndpointId) -> usize {
         let kind = self.endpoints.get(&id).map_or(DestinationKindId(0), |endpoint| endpoint.kind);
         self.kind(kind).map_or(1, |kind| kind.max_batch.max(1))
     }
 
-    /// True if no further call may be sent.
+    /// Returns whether the limit of calls in flight is reached.
     pub(super) fn at_call_limit(&self) -> bool {
         self.calls_in_flight >= self.settings.max_calls_in_flight
     }
 
-    /// Messages without an attempt in flight whose turn it is, oldest first.
+    /// Returns the messages without an attempt in flight whose turn it is, oldest first.
     pub(super) fn waiting(&self) -> Vec<MessageId> {
         self.idle.iter().copied().filter(|message| self.is_in_turn(*message)).collect()
     }
@@ -327,7 +330,7 @@
         key_queue.is_none_or(|key_queue| key_queue.allows(id, self.now))
     }
 
-    /// Endpoints that the message may be sent to now.
+    /// Returns the endpoints that the message may be sent to now.
     pub(super) fn permitted_endpoints(
         &self,
         message: MessageId,
@@ -346,7 +349,7 @@
         endpoint.ready && !must_wait && required_zone.is_none_or(|zone| zone == endpoint.zone)
     }
 
-    /// Sends an attempt and counts it.
+    /// Sends an attempt and records it.
     pub(super) fn send(
         &mut self,
         id: MessageId,
@@ -367,17 +370,17 @@
         actions.send(id, endpoint, timeout);
     }
 
-    /// Fails what is out of time, can't be sent again, or is given up by the baseline.
+    /// Fails messages whose deadline is near, that can't be sent again, or that the baseline abandons.
     pub(super) fn fail_exhausted(
         &mut self,
         actions: &mut dyn Actions,
-        is_given_up: impl Fn(MessageId) -> bool,
+        is_abandoned: impl Fn(MessageId) -> bool,
     ) {
         let is_exhausted = |id: MessageId, message: &Message| {
             let out_of_time = message.submission.deadline <= self.now + ANSWER_MARGIN;
             let may_send_again = message.attempts < self.settings.max_attempts
                 && message.may_be_repeated(self.class_of(message).idempotency, self.now)
-                && !is_given_up(id);
+                && !is_abandoned(id);
             out_of_time || (!message.in_flight && !may_send_again)
         };
         let open = self.messages.iter().filter(|(_, message)| !message.has_final_answer);
@@ -391,7 +394,7 @@
         }
     }
 
-    /// Asks for the next step while messages are held, and forgets key queues that no longer matter.
+    /// Requests the next step while messages are held, and drops key queues without messages and hold-off.
     pub(super) fn request_wake(&mut self, actions: &mut dyn Actions) {
         if !self.messages.is_empty() && self.next_wake <= self.now {
             self.next_wake = self.now + WAKE_INTERVAL;
