--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -1,7 +1,7 @@
-//! Plays one day: clients, relays, endpoints and the script of troubles, as events in virtual time.
+//! Simulates one day of clients, relays, endpoints and scripted faults as events in virtual time.
 //!
-//! Relays share nothing, so those whose step is due at a tick play it in parallel; their actions are then
-//! performed in the order of their numbers, and the trace doesn't depend on the number of threads.
+//! Relays share no state, so the steps that are due at the same tick run in parallel. Their effects are then
+//! performed in the order of the relay numbers, so the trace doesn't depend on the number of threads.
 
 mod calls;
 mod clients;
@@ -38,49 +38,50 @@
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::collections::BTreeMap;
 
-/// From a call's arrival at an endpoint to an answer that needs no work.
+/// Time from a call's arrival at an endpoint to an answer that needs no work.
 const ANSWER_DELAY: Time = 1_000;
-/// The day goes on so long after the last deadline, so that late final answers are still seen.
-const AFTERMATH: Time = 3_000_000;
-/// How often the course of the day is sampled.
+/// Time for which the day continues after the last deadline, so that late final answers are recorded.
+const TIME_AFTER_LAST_DEADLINE: Time = 3_000_000;
+/// Interval between two samples of the timeline.
 const SAMPLE_INTERVAL: Time = 1_000_000;
 
-/// How a day is to be played.
+/// Options of a simulated day.
 #[derive(Clone, Copy, Debug)]
 pub struct DayOptions {
-    /// The policy that decides at the relays.
+    /// The policy that makes the relays' decisions.
     pub policy: PolicyKind,
-    /// The seed of everything random.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Keep the course of the day for a report.
+    /// Whether to keep the timeline of the day for a report.
     pub keep_timeline: bool,
 }
 
-/// What somebody sees who watches a day.
+/// An item that is passed to the observer of a day.
 #[derive(Clone, Copy, Debug)]
 pub enum DayObservation<'f> {
-    /// Something happened.
+    /// A recorded fact.
     Fact(&'f Fact),
-    /// A relay, by its number, wrote a line to its log.
+    /// The number of a relay and a line of its log.
     Log(u32, &'f str),
 }
 
-/// Sees what happens in a day as it happens.
+/// Callback that receives each observation of a day with its time.
 pub type DayObserver<'a> = &'a mut dyn FnMut(Time, DayObservation<'_>);
 
-/// Makes the policy of a relay that starts.
+/// Creates the policy of a relay that starts.
 pub type PolicyFactory<'a> = Box<dyn Fn(PolicySettings) -> Box<dyn Policy> + 'a>;
 
-/// A day that can be played; facts may be watched as they come.
+/// A simulated day. An observer can receive its facts and log lines as they occur.
 pub struct Day<'a> {
     world: World<'a>,
     options: DayOptions,
     now: Time,
     events: EventQueue,
-    /// What clients want delivered, by time, and what has become of it.
+    /// The clients' requests, sorted by time.
     requests: Vec<Request>,
+    /// Progress of each request, by its position in `requests`.
     progress: Vec<RequestProgress>,
-    /// The first request whose time has not come.
+    /// Position of the first request that is not submitted yet.
     next_request: usize,
     relays: Vec<Relay>,
     servers: Vec<Server>,
@@ -90,19 +91,19 @@
     /// Number of messages that are not closed.
     open_messages: u64,
     next_message: u64,
-    /// By relay and the endpoint addressed.
+    /// Idle connections, by relay and addressed endpoint.
     idle_connections: FxHashMap<(u32, u32), Vec<IdleConnection>>,
-    /// By message and where repeats are known: a destination or a zone.
+    /// Deduplication records, by message and by the destination or zone that recognizes repeats.
     deduplication: FxHashMap<(u64, u32), Deduplication>,
-    /// By trouble: endpoints that stand for others, which the list learns when the trouble ends.
+    /// Replaced endpoints, by fault; the endpoint list is updated when the fault ends.
     replacements: BTreeMap<usize, Vec<Replacement>>,
-    /// Troubles that now cut relays off from endpoints.
+    /// Active faults that cut relays off from endpoints.
     partitions: Vec<usize>,
-    /// Number of troubles that now hold back updates of the list.
+    /// Number of active faults that delay updates of the endpoint list.
     discovery_faults: u32,
-    /// Until when discovery is at work on polls that it has accepted.
+    /// Time at which discovery has answered all polls that it has accepted.
     discovery_busy_until: Time,
-    /// What the list says of each endpoint.
+    /// Listed status of each endpoint.
     endpoint_list: Vec<EndpointStatus>,
     truth: GroundTruth,
     checker: InvariantChecker,
@@ -114,11 +115,11 @@
 }
 
 impl<'a> Day<'a> {
-    /// A day of a scenario, before its first event.
+    /// Creates a day of a scenario, before its first event.
     pub fn new(scenario: &'a Scenario, options: DayOptions) -> Day<'a> {
         let world = World::new(scenario, options.seed);
         let requests = traffic::draw(&world);
-        let routes = routes_of(&world);
+        let routes = build_routes(&world);
         let relays =
             (0..scenario.relays.count.get()).map(|relay| Relay::new(&world, relay, options.keep_timeline));
         Day {
@@ -128,7 +129,7 @@
             progress: vec![RequestProgress::default(); requests.len()],
             next_request: 0,
             relays: relays.collect(),
-            servers: servers_of(&world, &routes),
+            servers: build_servers(&world, &routes),
             routes,
             calls: FxHashMap::default(),
             messages: FxHashMap::default(),
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Shows every fact, and every line of the relays' logs, to somebody as it comes.
+    /// Passes every fact and every line of the relays' logs to an observer as it occurs.
     pub fn with_observer(mut self, observer: DayObserver<'a>) -> Day<'a> {
         for relay in &mut self.relays {
             relay.keep_log();
@@ -162,26 +163,26 @@
         self
     }
 
-    /// Has relays decide by something else than the policy named.
+    /// Replaces the policy that the options name.
     pub fn with_policy(mut self, policy_factory: PolicyFactory<'a>) -> Day<'a> {
         self.policy_factory = policy_factory;
         self
     }
 
-    /// The number of a destination by its name, as `banks/3`.
+    /// Returns the number of a destination by its name, such as `banks/3`.
     pub fn destination(&self, name: &str) -> Option<u32> {
         let count = self.world.destinations.len() as u32;
         (0..count).find(|destination| self.world.name(*destination) == name)
     }
 
-    /// Plays the day to its end.
+    /// Simulates the day to its end.
     pub fn run(mut self) -> DayOutcome {
         self.set_up();
-        let end = self.end();
+        let end = self.latest_end();
         while let Some(next) = self.next_time().filter(|next| *next <= end) {
-            // Relays take steps on a grid of ticks.
-            let gap = self.world.scenario.relays.min_step_interval.us();
-            let tick = (next.div_ceil(gap) * gap).max(self.now);
+            // Steps of relays are aligned to multiples of the step interval.
+            let step_interval = self.world.scenario.relays.min_step_interval.us();
+            let tick = (next.div_ceil(step_interval) * step_interval).max(self.now);
             self.handle_events_until(tick);
             self.now = tick;
             self.step_relays();
@@ -202,11 +203,11 @@
             self.schedule(begins, Event::FaultBegins { fault });
             self.schedule(ends, Event::FaultEnds { fault });
         }
-        self.schedule(0, Event::Second);
+        self.schedule(0, Event::Sample);
         for relay in 0..self.relays.len() {
             for endpoint in 0..self.servers.len() as u32 {
                 let setup = self.world.endpoints[endpoint as usize];
-                self.relays[relay].learn(&self.world, &setup, endpoint, EndpointStatus::Ready);
+                self.relays[relay].add_endpoint(&self.world, &setup, endpoint, EndpointStatus::Ready);
             }
             self.start_relay(relay as u32);
         }
@@ -225,17 +226,17 @@
         self.record(fact);
     }
 
-    /// When the day is over at the latest.
-    fn end(&self) -> Time {
-        let deadlines = self.world.scenario.classes.iter().map(|lane| lane.deadline.as_ref().us());
-        self.length() + deadlines.max().unwrap_or(0) + AFTERMATH
+    /// Returns the latest time at which the day ends.
+    fn latest_end(&self) -> Time {
+        let deadlines = self.world.scenario.classes.iter().map(|class| class.deadline.as_ref().us());
+        self.length() + deadlines.max().unwrap_or(0) + TIME_AFTER_LAST_DEADLINE
     }
 
     fn length(&self) -> Time {
         self.world.scenario.length.as_ref().us()
     }
 
-    /// When the next request, event or step is due.
+    /// Returns the time of the next request, event or step.
     fn next_time(&self) -> Option<Time> {
         let step = self.relays.iter().filter_map(Relay::next_wake).min();
         [self.next_arrival(), self.events.next_time(), step].into_iter().flatten().min()
@@ -245,7 +246,7 @@
         self.requests.get(self.next_request).map(|request| request.at)
     }
 
-    /// Handles requests and events in the order of their times, requests first.
+    /// Handles requests and events in the order of their times; at equal times, requests come first.
     fn handle_events_until(&mut self, tick: Time) {
         loop {
             let arrival = self.next_arrival().filter(|at| *at <= tick);
@@ -262,16 +263,16 @@
         }
     }
 
-    /// True once nothing is left to happen.
+    /// Returns whether nothing remains to be simulated.
     fn is_over(&self) -> bool {
         let all_arrived = self.next_request == self.requests.len();
         let idle = self.open_messages == 0 && self.calls.is_empty() && all_arrived;
-        idle && self.now > self.length() && self.relays.iter().all(|relay| relay.held() == 0)
+        idle && self.now > self.length() && self.relays.iter().all(|relay| relay.held_messages() == 0)
     }
 
-    /// Samples what the course of the day shows, once a second.
-    fn sample_second(&mut self) {
-        let queued: usize = self.relays.iter().map(Relay::held).sum();
+    /// Samples queue lengths, calls in flight and capacities for the timeline.
+    fn record_sample(&mut self) {
+        let queued: usize = self.relays.iter().map(Relay::held_messages).sum();
         let in_flight: usize = self.relays.iter().map(Relay::calls_in_flight).sum();
         self.statistics.queued.add(self.now, queued as f64);
         self.statistics.calls_in_flight.add(self.now, in_flight as f64);
@@ -287,7 +288,7 @@
             }
         });
         if self.open_messages > 0 || now < self.length() {
-            self.schedule(now + SAMPLE_INTERVAL, Event::Second);
+            self.schedule(now + SAMPLE_INTERVAL, Event::Sample);
         }
     }
 
@@ -332,8 +333,8 @@
     }
 }
 
-/// The routes of a world with their endpoints.
-fn routes_of(world: &World) -> Vec<Route> {
+/// Builds the routes of a world with their endpoints.
+fn build_routes(world: &World) -> Vec<Route> {
     let mut routes: Vec<Route> = Vec::new();
     for (endpoint, setup) in world.endpoints.iter().enumerate() {
         if routes.len() <= setup.route as usize {
@@ -344,8 +345,8 @@
     routes
 }
 
-/// The endpoints of a world, each with its part of its route's capacity.
-fn servers_of(world: &World, routes: &[Route]) -> Vec<Server> {
+/// Builds the endpoints of a world, each with its share of its route's capacity.
+fn build_servers(world: &World, routes: &[Route]) -> Vec<Server> {
     let server = |setup: &EndpointSetup| {
         let endpoints_of_route = routes[setup.route as usize].endpoints.len() as u32;
         Server::new(world, *setup, endpoints_of_route)
--- a/crates/lab/src/day/calls.rs
+++ b/crates/lab/src/day/calls.rs
@@ -1,4 +1,4 @@
-//! Calls as relays see them: how they start and how they end. A call carries one attempt of each of its messages.
+//! The relay side of calls: their start and their end. A call carries one attempt of each of its messages.
 
 use super::Day;
 use super::clients::ClientState;
@@ -10,38 +10,38 @@
 use mountshift::interface::Outcome;
 use mountshift_invariants::Fact;
 
-/// A kept connection that was idle for less than this can't have died unnoticed.
+/// Idle time below which a connection is never stale.
 const MIN_STALE_IDLE: Time = 200_000;
 
-/// How far an endpoint has come with a call.
+/// Progress of a call at its endpoint.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
-    OnTheWay,
+    InTransit,
     Queued,
     Running,
     Done,
 }
 
-/// A call that its relay waits for or its endpoint is not done with.
+/// A call that its relay still waits for or that its endpoint has not finished.
 pub(super) struct Call {
     pub(super) relay: u32,
-    /// The endpoint that it was addressed to.
+    /// The endpoint that the call was addressed to.
     pub(super) addressed: u32,
-    /// The endpoint that has the address now and got the call.
+    /// The endpoint that had this address when the call started and that receives the call.
     pub(super) endpoint: u32,
-    /// The endpoint's epoch at the start of the call: its connection has broken if the two differ.
+    /// The endpoint's epoch at the start of the call; the connection is broken if the endpoint's epoch has changed.
     pub(super) epoch: u32,
     pub(super) messages: Vec<u64>,
-    /// The relay still waits for it.
+    /// Whether the relay still waits for the outcome.
     pub(super) open: bool,
     pub(super) connected: bool,
     pub(super) stage: Stage,
-    /// When its last byte arrived.
+    /// Time at which the last byte of the call arrived at the endpoint.
     pub(super) arrived_at: Time,
 }
 
 impl Day<'_> {
-    /// A relay starts a call, over a kept connection if it has one.
+    /// Starts a call of a relay, over an idle connection if the relay has one.
     pub(super) fn start_call(
         &mut self,
         relay: u32,
@@ -53,7 +53,7 @@
         let endpoint = self.current_endpoint(addressed);
         let delay = self.network_delay(relay, endpoint);
         let epoch = self.servers[endpoint as usize].epoch;
-        let kept = self.take_idle_connection(relay, addressed, endpoint);
+        let idle_connection = self.take_idle_connection(relay, addressed, endpoint);
         let call = Call {
             relay,
             addressed,
@@ -61,22 +61,22 @@
             epoch,
             messages,
             open: true,
-            connected: kept.is_some(),
-            stage: Stage::OnTheWay,
+            connected: idle_connection.is_some(),
+            stage: Stage::InTransit,
             arrived_at: 0,
         };
         self.calls.insert(call_id, call);
         self.schedule(self.now + limit.max(1), Event::CallTimeout { call: call_id });
-        match kept {
+        match idle_connection {
             None => self.connect(call_id, delay),
-            Some(connection) if self.has_died(connection, call_id, endpoint) => {
+            Some(connection) if self.is_stale(connection, call_id, endpoint) => {
                 self.fail_call(call_id, Outcome::Reset, 2 * delay);
             }
             Some(_) => self.schedule(self.now + delay, Event::CallArrives { call: call_id }),
         }
     }
 
-    /// The endpoint that has an address now.
+    /// Returns the endpoint that now has the address of `addressed`.
     fn current_endpoint(&self, addressed: u32) -> u32 {
         let mut endpoint = addressed;
         while let Some(next) = self.servers[endpoint as usize].successor {
@@ -85,13 +85,14 @@
         endpoint
     }
 
-    fn has_died(&self, connection: IdleConnection, call_id: u64, endpoint: u32) -> bool {
+    /// Draws whether an idle connection has been closed without notice.
+    fn is_stale(&self, connection: IdleConnection, call_id: u64, endpoint: u32) -> bool {
         let probability = self.servers[endpoint as usize].effects.stale_rate;
         connection.since + MIN_STALE_IDLE < self.now
             && self.world.random.uniform(Purpose::StaleConnection, call_id, 0) < probability
     }
 
-    /// The call ends at its relay without an answer, a while from now.
+    /// Schedules the end of a call with the same undelivered outcome for all its messages.
     pub(super) fn fail_call(&mut self, call_id: u64, outcome: Outcome, delay: Time) {
         let Some(call) = self.calls.get(&call_id) else { return };
         let ends = call
@@ -102,8 +103,9 @@
         self.schedule(self.now + delay, Event::CallEnds { call: call_id, ends });
     }
 
-    /// The endpoint's answer is written to the network: the message is delivered, and its worth booked if its
-    /// client knows it as accepted. Behind a silence that is when the answer comes through.
+    /// Records the delivery of an accepted message when the endpoint's answer is written to the network, or when a
+    /// silence of the network ends and the answer reaches the relay. A delivery by the deadline counts in the
+    /// statistics.
     pub(super) fn record_delivery(&mut self, call_id: u64, message_id: u64) {
         let Some(message) = self.messages.get(&message_id) else { return };
         if message.client != ClientState::Answered || message.closed {
@@ -121,8 +123,8 @@
         }
     }
 
-    /// The endpoint is done with a call.
-    pub(super) fn endpoint_done(&mut self, call_id: u64) {
+    /// Marks a call as finished at its endpoint.
+    pub(super) fn finish_at_endpoint(&mut self, call_id: u64) {
         let Some(call) = self.calls.get_mut(&call_id) else { return };
         call.stage = Stage::Done;
         if !call.open {
@@ -130,8 +132,8 @@
         }
     }
 
-    /// The outcome of a call arrives at its relay.
-    pub(super) fn call_ends(&mut self, call_id: u64, ends: Vec<AttemptEnd>) {
+    /// Passes the outcome of a call to its relay.
+    pub(super) fn handle_call_end(&mut self, call_id: u64, ends: Vec<AttemptEnd>) {
         let Some(call) = self.calls.get_mut(&call_id) else { return };
         if !call.open {
             return;
@@ -143,7 +145,7 @@
         if broken {
             self.close_connection(call_id);
         } else {
-            self.keep_connection(call_id);
+            self.return_connection_to_pool(call_id);
         }
         for AttemptEnd { message, outcome, .. } in &ends {
             if *outcome == Outcome::Delivered {
@@ -151,14 +153,14 @@
                 self.close_message(*message);
             }
         }
-        if stage == Stage::Done || (broken && stage == Stage::OnTheWay) {
+        if stage == Stage::Done || (broken && stage == Stage::InTransit) {
             self.calls.remove(&call_id);
         }
         self.relays[relay].inbox.push(RelayEvent::CallEnded { call: call_id, ends, retry_after: 0 });
     }
 
-    /// Puts the connection of a call that is over back into the pool.
-    fn keep_connection(&mut self, call_id: u64) {
+    /// Returns the connection of an ended call to the pool of idle connections.
+    fn return_connection_to_pool(&mut self, call_id: u64) {
         let Some(call) = self.calls.get(&call_id) else { return };
         if !call.connected || self.servers[call.endpoint as usize].epoch != call.epoch {
             return;
@@ -167,15 +169,15 @@
         self.idle_connections.entry((call.relay, call.addressed)).or_default().push(connection);
     }
 
-    /// A relay has waited long enough for a call.
-    pub(super) fn call_timeout(&mut self, call_id: u64) {
+    /// Ends a call whose timeout has expired.
+    pub(super) fn handle_call_timeout(&mut self, call_id: u64) {
         let Some(call) = self.calls.get(&call_id) else { return };
         if !call.open {
             return;
         }
         let stalled_until = self.relays[call.relay as usize].stalled_until;
         if stalled_until > self.now {
-            // It notices once it goes on; an answer that came meanwhile is read first.
+            // A stalled relay handles the timeout once it resumes; an answer that arrived meanwhile is read first.
             self.schedule(stalled_until, Event::CallTimeout { call: call_id });
             return;
         }
@@ -183,7 +185,7 @@
         self.close_call(call_id, outcome);
     }
 
-    /// A relay ends a call by itself.
+    /// Ends a call from the relay's side.
     pub(super) fn close_call(&mut self, call_id: u64, outcome: Outcome) {
         let Some(call) = self.calls.get(&call_id) else { return };
         if !call.open {
@@ -195,12 +197,12 @@
             .iter()
             .map(|message| AttemptEnd { message: *message, outcome, closed: false })
             .collect();
-        self.hang_up(call_id);
+        self.abandon_call(call_id);
         self.relays[relay].inbox.push(RelayEvent::CallEnded { call: call_id, ends, retry_after: 0 });
     }
 
-    /// The connection of a call is closed from the relay's side.
-    pub(super) fn hang_up(&mut self, call_id: u64) {
+    /// Closes the connection of a call from the relay's side without reporting an outcome to the relay.
+    pub(super) fn abandon_call(&mut self, call_id: u64) {
         self.close_connection(call_id);
         let Some(call) = self.calls.get_mut(&call_id) else { return };
         call.open = false;
--- a/crates/lab/src/day/clients.rs
+++ b/crates/lab/src/day/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: what they submit, what they hear of it, and when they submit it again.
+//! Clients: their submissions, the answers that they receive, and their resubmissions.
 
 use super::Day;
 use super::events::Event;
@@ -8,49 +8,49 @@
 use crate::traffic::Request;
 use mountshift_invariants::{Fact, FinalAnswer};
 
-/// A client that finds a dead relay tries the next one after this span.
+/// Delay after which a client whose relay is down or doesn't respond submits to another relay.
 const RECONNECT_DELAY: Time = 50_000;
-/// The shortest span after which a client submits a rejected message again.
+/// Shortest delay before a client submits a rejected message again.
 const MIN_RESUBMISSION_DELAY: Time = 1_000;
 
-/// What the client of a message knows of it.
+/// The state of a message at its client.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClientState {
-    /// It waits to hear that the message was accepted.
+    /// The client waits for an answer.
     Waiting,
-    /// It has heard that the message was accepted, or its final answer.
+    /// The client has received the acceptance or the final answer.
     Answered,
-    /// It has stopped waiting and submits the request under another id.
+    /// The client has stopped waiting and submits the request under another id.
     GaveUp,
 }
 
-/// A message: one submission of a request.
+/// A message, which is one submission of a request.
 pub(super) struct MessageState {
     pub(super) request: u32,
     pub(super) relay: u32,
     pub(super) client: ClientState,
-    /// It took effect under this id.
+    /// Whether the message took effect under this id.
     pub(super) took_effect: bool,
-    /// Its final answer is given or awaited by nobody: late effects are counted, nothing else.
+    /// Whether the message has its final answer or no client waits for one; only later effects are still counted.
     pub(super) closed: bool,
 }
 
-/// What has become of a request so far, over all its submissions.
+/// Progress of a request over all its submissions.
 #[derive(Clone, Copy, Default)]
 pub(super) struct RequestProgress {
     pub(super) delivered: bool,
-    /// Number of message ids under which it took effect.
+    /// Number of message ids under which the request took effect.
     pub(super) effects: u32,
     submissions: u32,
 }
 
 impl Day<'_> {
-    /// When a request is worth nothing any more.
+    /// Returns the time after which a delivery of the request no longer counts.
     pub(super) fn deadline(&self, request: &Request) -> Time {
         request.at + self.world.scenario.classes[usize::from(request.class)].deadline.as_ref().us()
     }
 
-    /// A client submits a request to a relay that is up.
+    /// Submits a request to a relay that is up, or schedules another try if all relays are down.
     pub(super) fn submit(&mut self, request_id: u32) {
         let request = self.requests[request_id as usize];
         let deadline = self.deadline(&request);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The relay that a client connects to. Messages of one ordering key come to one relay while it is up.
+    /// Returns the relay that a client connects to. Messages of one ordering key go to the same relay while it is up.
     fn choose_relay(&self, request_id: u32, key: u64, submission: u32) -> Option<u32> {
         let client = if key != 0 { key } else { u64::from(request_id) << 20 | u64::from(submission) };
         let count = self.relays.len();
@@ -96,8 +96,8 @@
         message
     }
 
-    /// A client that has heard nothing submits its request to another relay.
-    pub(super) fn client_timeout(&mut self, message_id: u64) {
+    /// Withdraws a message whose client has received no answer, and schedules a submission to another relay.
+    pub(super) fn handle_client_timeout(&mut self, message_id: u64) {
         let Some(message) = self.messages.get_mut(&message_id) else { return };
         if message.client != ClientState::Waiting {
             return;
@@ -109,7 +109,7 @@
         self.schedule(self.now + RECONNECT_DELAY, Event::Submission { request });
     }
 
-    /// Nothing more is owed under this id.
+    /// Closes a message: no further answer is due under this id.
     pub(super) fn close_message(&mut self, message_id: u64) {
         let Some(message) = self.messages.get_mut(&message_id) else { return };
         if !message.closed {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A relay answers the client of a message: accepted, or its final answer.
+    /// Passes a relay's answer to the client of a message: the acceptance if `end` is `None`, else the final answer.
     pub(super) fn answer_client(&mut self, message_id: u64, end: Option<FinalAnswer>) {
         let Some(message) = self.messages.get_mut(&message_id) else { return };
         if message.client == ClientState::GaveUp {
@@ -133,13 +133,13 @@
             None => self.record(Fact::Accepted { message: message_id }),
             Some(end) => {
                 self.record(Fact::FinalAnswerReceived { message: message_id });
-                self.message_ended(message_id, end);
+                self.end_message(message_id, end);
             }
         }
     }
 
-    /// A message ended undelivered: its client may submit the request again.
-    pub(super) fn message_ended(&mut self, message_id: u64, end: FinalAnswer) {
+    /// Ends a message that was not delivered; its client may submit the request again if it was rejected.
+    pub(super) fn end_message(&mut self, message_id: u64, end: FinalAnswer) {
         let Some(message) = self.messages.get(&message_id) else { return };
         if message.closed {
             return;
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Some clients submit a rejected request again, after the relay's Retry-After if it gave one.
+    /// Draws whether the client submits a rejected request again, and schedules that after the relay's Retry-After or
+    /// a default delay.
     fn schedule_resubmission(&mut self, request: u32, message_id: u64, retry_after: Time) {
         let clients = &self.world.scenario.clients;
         let drawn = self.world.random.uniform(Purpose::Resubmission, u64::from(request), message_id);
@@ -163,16 +164,16 @@
             return;
         }
         let delay = if retry_after > 0 { retry_after } else { clients.default_retry_delay.us() };
-        let longest = self.world.scenario.rules.max_retry_after.us();
-        let delay = delay.min(longest).max(MIN_RESUBMISSION_DELAY);
+        let max_delay = self.world.scenario.rules.max_retry_after.us();
+        let delay = delay.min(max_delay).max(MIN_RESUBMISSION_DELAY);
         self.schedule(self.now + delay, Event::Submission { request });
     }
 
-    /// The platform has a message's final answer; its relay may forget the message.
-    pub(super) fn notification_acknowledged(&mut self, message_id: u64) {
+    /// Acknowledges the notification of a message's end, so that the relay can delete the message.
+    pub(super) fn acknowledge_notification(&mut self, message_id: u64) {
         let Some(message) = self.messages.get(&message_id) else { return };
         let relay = message.relay as usize;
         self.record(Fact::FinalAnswerReceived { message: message_id });
-        self.relays[relay].inbox.push(RelayEvent::NotificationTaken { message: message_id });
+        self.relays[relay].inbox.push(RelayEvent::NotificationAcknowledged { message: message_id });
     }
 }
--- a/crates/lab/src/day/connections.rs
+++ b/crates/lab/src/day/connections.rs
@@ -1,4 +1,4 @@
-//! Connections between relays and endpoints: the network's delays, dialling, and the pools of idle connections.
+//! Connections between relays and endpoints: network delays, connection setup, and pools of idle connections.
 
 use super::Day;
 use super::events::Event;
@@ -6,23 +6,23 @@
 use crate::servers::Server;
 use mountshift::interface::Outcome;
 
-/// One way through the network inside a zone.
+/// One-way network delay inside a zone.
 const DELAY_IN_ZONE: Time = 300;
-/// One way through the network between two zones.
+/// One-way network delay between two zones.
 const DELAY_BETWEEN_ZONES: Time = 1_200;
-/// An idle connection is not used for the last part of its time, when the endpoint may just be closing it.
+/// Share of the idle timeout during which an idle connection is used; later the endpoint may already be closing it.
 const USABLE_IDLE_SHARE: f64 = 0.9;
 
 /// An open connection that no call uses.
 #[derive(Clone, Copy)]
 pub(super) struct IdleConnection {
     pub(super) since: Time,
-    /// The endpoint's epoch when it was opened: it has died if the two differ.
+    /// The endpoint's epoch when the connection was opened; the connection is broken if the epoch has changed.
     pub(super) epoch: u32,
 }
 
 impl Day<'_> {
-    /// How long a byte takes from a relay to an endpoint or back.
+    /// Returns the one-way network delay between a relay and an endpoint.
     pub(super) fn network_delay(&self, relay: u32, endpoint: u32) -> Time {
         if self.world.relay_zone(relay) == self.servers[endpoint as usize].setup.zone {
             DELAY_IN_ZONE
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Until when no byte passes between the two; 0 if bytes pass.
+    /// Returns the time until which no data passes between a relay and an endpoint, or 0 if data passes.
     pub(super) fn silent_until(&self, relay: u32, endpoint: u32) -> Time {
         let partitions = self.partitions.iter().map(|fault| &self.world.faults[*fault]);
         let between =
@@ -40,15 +40,15 @@
         partitioned_until.max(self.servers[endpoint as usize].effects.silent_until)
     }
 
-    /// Takes the idle connection that was used last, and drops those that are too old or have died.
+    /// Takes the most recently used idle connection, and drops connections that are too old or broken.
     pub(super) fn take_idle_connection(
         &mut self,
         relay: u32,
         addressed: u32,
         endpoint: u32,
     ) -> Option<IdleConnection> {
-        let usable_idle = self.world.scenario.relays.idle_timeout.us() as f64 * USABLE_IDLE_SHARE;
-        let oldest = self.now.saturating_sub(usable_idle as Time);
+        let max_idle = self.world.scenario.relays.idle_timeout.us() as f64 * USABLE_IDLE_SHARE;
+        let oldest = self.now.saturating_sub(max_idle as Time);
         let server = &mut self.servers[endpoint as usize];
         let pool = self.idle_connections.get_mut(&(relay, addressed))?;
         let before = pool.len();
@@ -58,16 +58,16 @@
         pool.pop()
     }
 
-    /// Opens a connection for a call.
+    /// Opens a connection for a call, or schedules the call's failure.
     pub(super) fn connect(&mut self, call_id: u64, delay: Time) {
         let call = &self.calls[&call_id];
         let relay = call.relay;
         let endpoint = call.endpoint;
         let silent = self.silent_until(relay, endpoint) > self.now;
         let server = &self.servers[endpoint as usize];
-        let deserted = server.removed && server.successor.is_none();
-        if server.effects.vanished || silent || deserted {
-            // The list may still hold what is gone: its machine says nothing.
+        let unreachable = server.removed && server.successor.is_none();
+        if server.effects.vanished || silent || unreachable {
+            // The endpoint list may still name a removed endpoint, whose host does not respond.
             let connect_timeout = self.world.scenario.relays.connect_timeout.us();
             self.fail_call(call_id, Outcome::ConnectFailed, connect_timeout);
             return;
@@ -83,7 +83,7 @@
                 return;
             }
         }
-        self.connection_opened(call_id, endpoint, delay);
+        self.record_opened_connection(call_id, endpoint, delay);
     }
 
     fn connection_table_full(&self, endpoint: u32) -> bool {
@@ -92,17 +92,17 @@
         server.effects.connection_table_full || server.connections >= limit
     }
 
-    fn connection_opened(&mut self, call_id: u64, endpoint: u32, delay: Time) {
+    fn record_opened_connection(&mut self, call_id: u64, endpoint: u32, delay: Time) {
         self.servers[endpoint as usize].connections += 1;
         self.statistics.connections += 1;
         if let Some(call) = self.calls.get_mut(&call_id) {
             call.connected = true;
         }
-        // There and back for the connection, and there for the call.
+        // A round trip for the connection setup and one way for the call.
         self.schedule(self.now + 3 * delay, Event::CallArrives { call: call_id });
     }
 
-    /// Closes what has been idle too long at an endpoint whose table seems full.
+    /// Closes idle connections past the idle timeout at an endpoint whose connection table is full.
     fn close_expired_connections(&mut self, endpoint: u32) {
         let oldest = self.now.saturating_sub(self.world.scenario.relays.idle_timeout.us());
         for relay in 0..self.relays.len() as u32 {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A relay closes its idle connections to an endpoint.
+    /// Closes a relay's idle connections to an endpoint.
     pub(super) fn close_idle_connections(&mut self, relay: u32, endpoint: u32) {
         let Some(pool) = self.idle_connections.remove(&(relay, endpoint)) else { return };
         let server = &mut self.servers[endpoint as usize];
--- a/crates/lab/src/day/discovery.rs
+++ b/crates/lab/src/day/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list, its updates on their way to relays, and the polls of relays.
+//! Discovery: the endpoint list, the delivery of its updates to relays, and the relays' polls.
 
 use super::Day;
 use super::events::Event;
@@ -9,47 +9,47 @@
 use mountshift::interface::EndpointStatus;
 use mountshift_scenario::ScriptedFaultKind;
 
-/// An update of the list arrives at a relay after a span between this and [`MAX_UPDATE_DELAY`].
+/// Shortest delay from a change of the endpoint list to its arrival at a relay.
 const MIN_UPDATE_DELAY: Time = 50_000;
-/// The longest span from a change of the list to its arrival at a relay.
+/// Longest delay from a change of the endpoint list to its arrival at a relay.
 const MAX_UPDATE_DELAY: Time = 700_000;
-/// A poll is answered no sooner.
+/// Shortest time from a poll to its response.
 const POLL_DELAY: Time = 5_000;
 
 impl Day<'_> {
-    /// An update arrives at a relay, unless a trouble holds it back until the trouble is over.
-    pub(super) fn list_update(&mut self, relay: u32, endpoint: u32, status: EndpointStatus) {
-        if let Some(until) = self.update_held_until(relay, endpoint) {
+    /// Passes an update of the endpoint list to a relay, or postpones it until the end of a fault that delays it.
+    pub(super) fn apply_list_update(&mut self, relay: u32, endpoint: u32, status: EndpointStatus) {
+        if let Some(until) = self.update_delayed_until(relay, endpoint) {
             let event = Event::ListUpdate { relay, endpoint, status };
             self.schedule(until + MIN_UPDATE_DELAY, event);
             return;
         }
         let setup = self.servers[endpoint as usize].setup;
         let host = &mut self.relays[relay as usize];
-        // Where discovery is short of capacity a relay hears only what its own watch brings.
+        // Where discovery has limited capacity, a relay receives updates only over its own watch.
         if self.world.scenario.relays.discovery.is_some() && !host.watching {
             return;
         }
-        host.learn(&self.world, &setup, endpoint, status);
+        host.add_endpoint(&self.world, &setup, endpoint, status);
         if host.up {
             host.inbox.push(RelayEvent::EndpointListed { endpoint, status });
         }
     }
 
-    /// The end of the troubles that hold back an update, if any does.
-    fn update_held_until(&self, relay: u32, endpoint: u32) -> Option<Time> {
+    /// Returns the latest end of the faults that delay an update, if there is any.
+    fn update_delayed_until(&self, relay: u32, endpoint: u32) -> Option<Time> {
         if self.discovery_faults == 0 {
             return None;
         }
-        let holds = |fault: &&ResolvedFault| {
+        let delays_update = |fault: &&ResolvedFault| {
             let watch_lost = fault.kind == ScriptedFaultKind::WatchLost && fault.relays.contains(&relay);
             let list_late = fault.kind == ScriptedFaultKind::ListLate && fault.endpoints.contains(&endpoint);
             (watch_lost || list_late) && fault.is_active(self.now)
         };
-        self.world.faults.iter().filter(holds).map(|fault| fault.ends).max()
+        self.world.faults.iter().filter(delays_update).map(|fault| fault.ends).max()
     }
 
-    /// Changes an endpoint's entry in the list and sends the update to every relay, each a little later.
+    /// Changes an endpoint's entry in the endpoint list and sends the update to every relay with a delay of its own.
     pub(super) fn publish(&mut self, endpoint: u32, status: EndpointStatus) {
         let index = endpoint as usize;
         if self.endpoint_list.len() <= index {
@@ -65,28 +65,28 @@
         }
     }
 
-    /// A relay polls for the list; where discovery is short of capacity it is answered in its turn.
+    /// Schedules the response to a relay's poll; where discovery has limited capacity, polls wait in a queue.
     pub(super) fn poll_discovery(&mut self, relay: u32) {
         let Some(discovery) = self.world.scenario.relays.discovery else {
             self.schedule(self.now + POLL_DELAY, Event::PollAnswered { relay });
             return;
         };
         let time_per_poll = (1e6 / discovery.calls_per_second.0) as Time;
-        let answered = self.discovery_busy_until.max(self.now) + time_per_poll;
-        if answered > self.now + discovery.max_queue_wait.us() {
+        let answered_at = self.discovery_busy_until.max(self.now) + time_per_poll;
+        if answered_at > self.now + discovery.max_queue_wait.us() {
             self.schedule(self.now + POLL_DELAY, Event::PollFailed { relay });
             return;
         }
-        self.discovery_busy_until = answered;
-        if answered > self.now + discovery.timeout.us() {
+        self.discovery_busy_until = answered_at;
+        if answered_at > self.now + discovery.timeout.us() {
             self.schedule(self.now + discovery.timeout.us(), Event::PollFailed { relay });
             return;
         }
-        self.schedule(answered.max(self.now + POLL_DELAY), Event::PollAnswered { relay });
+        self.schedule(answered_at.max(self.now + POLL_DELAY), Event::PollAnswered { relay });
     }
 
-    /// The answer to a poll arrives: the whole list, or an error while the relay's watch is lost.
-    pub(super) fn poll_answered(&mut self, relay: u32) {
+    /// Passes the response to a poll to its relay: the full list, or an error while the relay's watch is lost.
+    pub(super) fn handle_poll_answer(&mut self, relay: u32) {
         let watch_lost = |fault: &ResolvedFault| {
             let kind = fault.kind == ScriptedFaultKind::WatchLost;
             kind && fault.is_active(self.now) && fault.relays.contains(&relay)
@@ -107,7 +107,7 @@
             if status != EndpointStatus::Removed {
                 let setup = self.servers[endpoint as usize].setup;
                 let host = &mut self.relays[relay as usize];
-                host.learn(&self.world, &setup, endpoint, status);
+                host.add_endpoint(&self.world, &setup, endpoint, status);
                 host.inbox.push(RelayEvent::EndpointListed { endpoint, status });
             }
         }
--- a/crates/lab/src/day/endpoints.rs
+++ b/crates/lab/src/day/endpoints.rs
@@ -1,4 +1,4 @@
-//! Calls as endpoints see them: admission, queueing, work and its effects, and the answer.
+//! The endpoint side of calls: admission, queueing, work and its effects, and the answer.
 
 use super::calls::Stage;
 use super::events::Event;
@@ -13,34 +13,34 @@
 use mountshift_scenario::Idempotency;
 use std::time::Duration;
 
-/// The share of messages that a heavy tail strikes.
+/// Share of calls that a heavy tail affects, drawn by first request and endpoint.
 const HEAVY_TAIL_SHARE: f64 = 0.05;
-/// The share of calls in the queue that are worked on although their relay has hung up.
+/// Share of queued calls that are executed although their relay has closed the connection.
 const ABANDONED_WORK_SHARE: f64 = 0.5;
-/// The share of failing calls that take effect all the same.
+/// Share of failing calls that take effect nevertheless.
 pub(super) const FAILED_EFFECT_SHARE: f64 = 0.5;
-/// The longest span from the end of a silence to the network's next try to pass a call on, in microseconds.
+/// Longest delay from the end of a silence to the network's retransmission of a call, in microseconds.
 const MAX_RETRANSMISSION_DELAY: f64 = 200_000.0;
-/// No work takes less.
+/// Shortest service time of a call.
 const MIN_SERVICE_TIME: Time = 100;
-/// Work never slows down to less than this share of the full capacity.
+/// Smallest share of the full capacity with which service times are computed.
 const MIN_CAPACITY_SHARE: f64 = 0.01;
 
-/// What an endpoint remembers of a message with an idempotency key.
+/// Deduplication record of a message with an idempotency key.
 pub(super) struct Deduplication {
     first_seen: Time,
     took_effect: bool,
 }
 
 impl Day<'_> {
-    /// A call's last byte arrives at its endpoint.
-    pub(super) fn call_arrives(&mut self, call_id: u64) {
+    /// Handles the arrival of a call's last byte at its endpoint.
+    pub(super) fn handle_call_arrival(&mut self, call_id: u64) {
         let Some(call) = self.calls.get(&call_id) else { return };
         let relay = call.relay;
         let endpoint = call.endpoint;
         let server = &self.servers[endpoint as usize];
         if !call.open {
-            self.endpoint_done(call_id);
+            self.finish_at_endpoint(call_id);
             return;
         }
         if server.epoch != call.epoch {
@@ -55,15 +55,15 @@
             return;
         }
         if server.effects.vanished || server.removed {
-            // Nobody is there; its relay finds out by its own limit.
-            self.endpoint_done(call_id);
+            // There is no answer; the relay's timeout ends the call.
+            self.finish_at_endpoint(call_id);
             return;
         }
-        self.call_arrived(call_id);
+        self.record_call_arrival(call_id);
     }
 
-    /// Counts a call that arrived; the route may be overloaded by it.
-    fn call_arrived(&mut self, call_id: u64) {
+    /// Records a call that arrived, and admits it unless it overloads the route.
+    fn record_call_arrival(&mut self, call_id: u64) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&call_id) else { return };
         call.arrived_at = now;
@@ -87,7 +87,7 @@
         self.admit_call(call_id, relay, endpoint);
     }
 
-    /// Rejects a call, fails it, or puts it into the queue.
+    /// Rejects a call, fails it, or adds it to the queue.
     fn admit_call(&mut self, call_id: u64, relay: u32, endpoint: u32) {
         let server = &self.servers[endpoint as usize];
         let error_rate = server.effects.error_rate;
@@ -95,8 +95,8 @@
             self.reject_call(call_id, 0);
             return;
         }
-        let lie = self.world.random.uniform(Purpose::WrongRetryAfter, call_id, 0);
-        if let Err(retry_after) = self.routes[server.setup.route as usize].admit(self.now, lie) {
+        let retry_after_draw = self.world.random.uniform(Purpose::WrongRetryAfter, call_id, 0);
+        if let Err(retry_after) = self.routes[server.setup.route as usize].admit(self.now, retry_after_draw) {
             self.reject_call(call_id, retry_after);
             return;
         }
@@ -106,7 +106,7 @@
             }
             let delay = ANSWER_DELAY + self.network_delay(relay, endpoint);
             self.fail_call(call_id, Outcome::Error, delay);
-            self.endpoint_done(call_id);
+            self.finish_at_endpoint(call_id);
             return;
         }
         let server = &mut self.servers[endpoint as usize];
@@ -126,10 +126,10 @@
         let delay = ANSWER_DELAY + self.network_delay(call.relay, call.endpoint);
         let rejected = Outcome::Rejected { retry_after: Duration::from_micros(retry_after) };
         self.fail_call(call_id, rejected, delay);
-        self.endpoint_done(call_id);
+        self.finish_at_endpoint(call_id);
     }
 
-    /// Takes calls from the queue while workers are free.
+    /// Starts queued calls while workers are free.
     pub(super) fn start_queued_calls(&mut self, endpoint: u32) {
         loop {
             let server = &mut self.servers[endpoint as usize];
@@ -141,7 +141,7 @@
             let Some(call) = self.calls.get(&call_id) else { continue };
             let drawn = self.world.random.uniform(Purpose::AbandonedCall, call_id, 0);
             if !call.open && drawn >= ABANDONED_WORK_SHARE {
-                self.endpoint_done(call_id);
+                self.finish_at_endpoint(call_id);
                 continue;
             }
             self.start_work(call_id, endpoint);
@@ -160,12 +160,12 @@
         self.schedule(self.now + service_time, Event::WorkFinished { call: call_id, epoch });
     }
 
-    /// How long a call takes an endpoint now.
+    /// Returns the service time of a call that starts now.
     fn service_time(&self, call_id: u64, endpoint: u32) -> Time {
         let server = &self.servers[endpoint as usize];
         let group = &self.world.scenario.groups[server.setup.group];
         let messages = &self.calls[&call_id].messages;
-        // By request and place, so that another policy that sends it there meets the same answer time.
+        // Drawn by request and endpoint, so that another policy that sends the request there meets the same time.
         let first = messages.first().and_then(|message| self.messages.get(message));
         let first = first.map_or(call_id, |message| u64::from(message.request));
         let drawn = self.world.random.log_normal(
@@ -174,16 +174,17 @@
             first,
             u64::from(endpoint),
         );
-        let batch = 1.0 + group.batch_item_cost.0 * (messages.len() as f64 - 1.0);
-        let struck =
+        let batch_factor = 1.0 + group.batch_item_cost.0 * (messages.len() as f64 - 1.0);
+        let is_affected =
             self.world.random.uniform(Purpose::HeavyTail, first, u64::from(endpoint)) < HEAVY_TAIL_SHARE;
-        let tail = |tail: &HeavyTail| {
-            if struck && self.carries_class(messages, tail.class) { tail.factor } else { 1.0 }
+        let factor_of = |tail: &HeavyTail| {
+            if is_affected && self.carries_class(messages, tail.class) { tail.factor } else { 1.0 }
         };
-        let tails: f64 = server.effects.heavy_tails.iter().map(tail).product();
-        let capacity = self.routes[server.setup.route as usize].capacity_share(self.now, &self.world);
-        let seconds = group.response_time.seconds() * drawn * batch * tails * server.effects.slowdown
-            / capacity.max(MIN_CAPACITY_SHARE);
+        let tail_factor: f64 = server.effects.heavy_tails.iter().map(factor_of).product();
+        let capacity_share = self.routes[server.setup.route as usize].capacity_share(self.now, &self.world);
+        let seconds =
+            group.response_time.seconds() * drawn * batch_factor * tail_factor * server.effects.slowdown
+                / capacity_share.max(MIN_CAPACITY_SHARE);
         ((seconds * 1e6) as Time).max(MIN_SERVICE_TIME)
     }
 
@@ -195,7 +196,7 @@
         messages.iter().any(of_class)
     }
 
-    /// The messages of a call take effect, save those that the endpoint knows as repeats.
+    /// Executes the messages of a call, except those that the endpoint recognizes as duplicates.
     pub(super) fn apply_effects(&mut self, call_id: u64) {
         let Some(call) = self.calls.get(&call_id) else { return };
         let endpoint = call.endpoint;
@@ -204,11 +205,11 @@
             let Some(request) = self.messages.get(&message_id).map(|message| message.request) else {
                 continue;
             };
-            let repeat = self.is_repeat(message_id, request, endpoint, arrived_at);
-            if !repeat {
+            let duplicate = self.deduplicate(message_id, request, endpoint, arrived_at);
+            if !duplicate {
                 self.count_effect(message_id);
             }
-            self.record(Fact::Executed { message: message_id, call: call_id, endpoint, duplicate: repeat });
+            self.record(Fact::Executed { message: message_id, call: call_id, endpoint, duplicate });
         }
     }
 
@@ -220,8 +221,9 @@
         }
     }
 
-    /// True if the endpoint knows a message's idempotency key and drops the message; otherwise it remembers it.
-    fn is_repeat(&mut self, message_id: u64, request: u32, endpoint: u32, arrived_at: Time) -> bool {
+    /// Returns whether the endpoint drops a message as a duplicate of a known idempotency key, and records the key if
+    /// it is new.
+    fn deduplicate(&mut self, message_id: u64, request: u32, endpoint: u32, arrived_at: Time) -> bool {
         let class = self.requests[request as usize].class;
         let class = &self.world.scenario.classes[usize::from(class)];
         if class.idempotency != Idempotency::WithKey {
@@ -234,10 +236,10 @@
             server.setup.destination
         };
         let window = class.deduplication_window.map_or(0, mountshift_scenario::Span::us);
-        // It is known from its first arrival on, but counts as done only once it took effect: a first attempt that
-        // died in the queue must not swallow the second.
-        let unknown = Deduplication { first_seen: arrived_at, took_effect: false };
-        let known = self.deduplication.entry((message_id, scope)).or_insert(unknown);
+        // The key is known from the first arrival on, but counts as executed only once the message took effect: a first
+        // attempt that was lost in the queue must not suppress the second.
+        let first_arrival = Deduplication { first_seen: arrived_at, took_effect: false };
+        let known = self.deduplication.entry((message_id, scope)).or_insert(first_arrival);
         if !known.took_effect {
             known.took_effect = true;
             return false;
@@ -249,8 +251,8 @@
         false
     }
 
-    /// An endpoint has worked a call off.
-    pub(super) fn work_finished(&mut self, call_id: u64, epoch: u32) {
+    /// Finishes the work on a call: applies its effects and sends the answer.
+    pub(super) fn finish_work(&mut self, call_id: u64, epoch: u32) {
         let Some(call) = self.calls.get(&call_id) else { return };
         let endpoint = call.endpoint;
         let open = call.open;
@@ -259,7 +261,7 @@
             return;
         }
         if server.effects.frozen_until > self.now {
-            // It stood still meanwhile and goes on with what was left.
+            // The endpoint is frozen and finishes the rest of the work once it resumes.
             let until = server.effects.frozen_until + ANSWER_DELAY;
             self.schedule(until, Event::WorkFinished { call: call_id, epoch });
             return;
@@ -270,11 +272,11 @@
         if open {
             self.send_answer(call_id);
         }
-        self.endpoint_done(call_id);
+        self.finish_at_endpoint(call_id);
         self.start_queued_calls(endpoint);
     }
 
-    /// The answer to a call is written, unless its connection is reset instead.
+    /// Sends the answer to a call, or resets its connection instead.
     fn send_answer(&mut self, call_id: u64) {
         let Some(call) = self.calls.get(&call_id) else { return };
         let relay = call.relay;
--- a/crates/lab/src/day/events.rs
+++ b/crates/lab/src/day/events.rs
@@ -8,43 +8,43 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Something that happens at a time of its own.
+/// An event that occurs at a scheduled time.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     /// A client submits a request, for the first time or again.
     Submission { request: u32 },
     /// The last byte of a call arrives at its endpoint.
     CallArrives { call: u64 },
-    /// An endpoint has worked a call off, unless its connections broke since `epoch`.
+    /// An endpoint has finished the work on a call, unless its connections broke since `epoch`.
     WorkFinished { call: u64, epoch: u32 },
-    /// The outcome of a call arrives at its relay; each end is a message, its outcome and whether it is closed.
+    /// The outcome of a call arrives at its relay, with one end for each message.
     CallEnds { call: u64, ends: Vec<AttemptEnd> },
-    /// The time limit that a relay set for a call has passed.
+    /// The timeout that a relay set for a call has expired.
     CallTimeout { call: u64 },
-    /// An endpoint that stood still goes on.
+    /// A frozen endpoint resumes its work.
     EndpointResumes { endpoint: u32 },
-    /// A trouble of the script begins.
+    /// A scripted fault begins.
     FaultBegins { fault: usize },
-    /// A trouble of the script ends.
+    /// A scripted fault ends.
     FaultEnds { fault: usize },
-    /// An update of one endpoint arrives at a relay.
+    /// An update of one entry of the endpoint list arrives at a relay.
     ListUpdate { relay: u32, endpoint: u32, status: EndpointStatus },
-    /// A relay's poll for the endpoint list is answered.
+    /// The response to a relay's poll for the endpoint list arrives.
     PollAnswered { relay: u32 },
-    /// A relay's poll for the endpoint list gets no answer.
+    /// A relay's poll for the endpoint list fails.
     PollFailed { relay: u32 },
     /// The platform acknowledges a notification.
     NotificationAcknowledged { message: u64 },
-    /// A client that still waits to hear that its message was accepted gives up.
+    /// A client stops waiting for its message to be accepted.
     ClientTimeout { message: u64 },
-    /// Another second of the day begins.
-    Second,
+    /// The next sample of the timeline is due.
+    Sample,
 }
 
-/// Where an event lies in the queue's storage.
+/// Position of an event in the queue's storage.
 type Slot = usize;
 
-/// Events by time; those of one time leave in the order in which they were scheduled.
+/// A queue of events, ordered by time; events of the same time are taken in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<(Time, u64, Slot)>>,
@@ -54,7 +54,7 @@
 }
 
 impl EventQueue {
-    /// When the next event is due.
+    /// Returns the time of the next event.
     pub(super) fn next_time(&self) -> Option<Time> {
         self.heap.peek().map(|entry| entry.0.0)
     }
@@ -82,7 +82,7 @@
 }
 
 impl Day<'_> {
-    /// Schedules an event, at once if its time has passed.
+    /// Schedules an event; a time in the past counts as now.
     pub(super) fn schedule(&mut self, at: Time, event: Event) {
         self.events.push(at.max(self.now), event);
     }
@@ -93,19 +93,19 @@
         self.now = at;
         match event {
             Event::Submission { request } => self.submit(request),
-            Event::CallArrives { call } => self.call_arrives(call),
-            Event::WorkFinished { call, epoch } => self.work_finished(call, epoch),
-            Event::CallEnds { call, ends } => self.call_ends(call, ends),
-            Event::CallTimeout { call } => self.call_timeout(call),
+            Event::CallArrives { call } => self.handle_call_arrival(call),
+            Event::WorkFinished { call, epoch } => self.finish_work(call, epoch),
+            Event::CallEnds { call, ends } => self.handle_call_end(call, ends),
+            Event::CallTimeout { call } => self.handle_call_timeout(call),
             Event::EndpointResumes { endpoint } => self.start_queued_calls(endpoint),
-            Event::FaultBegins { fault } => self.change_fault(fault, true),
-            Event::FaultEnds { fault } => self.change_fault(fault, false),
-            Event::ListUpdate { relay, endpoint, status } => self.list_update(relay, endpoint, status),
-            Event::PollAnswered { relay } => self.poll_answered(relay),
+            Event::FaultBegins { fault } => self.update_fault(fault, true),
+            Event::FaultEnds { fault } => self.update_fault(fault, false),
+            Event::ListUpdate { relay, endpoint, status } => self.apply_list_update(relay, endpoint, status),
+            Event::PollAnswered { relay } => self.handle_poll_answer(relay),
             Event::PollFailed { relay } => self.relays[relay as usize].inbox.push(RelayEvent::PollFailed),
-            Event::NotificationAcknowledged { message } => self.notification_acknowledged(message),
-            Event::ClientTimeout { message } => self.client_timeout(message),
-            Event::Second => self.sample_second(),
+            Event::NotificationAcknowledged { message } => self.acknowledge_notification(message),
+            Event::ClientTimeout { message } => self.handle_client_timeout(message),
+            Event::Sample => self.record_sample(),
         }
     }
 }
--- a/crates/lab/src/day/faults.rs
+++ b/crates/lab/src/day/faults.rs
@@ -1,4 +1,4 @@
-//! The script of troubles: what begins and ends, and what that does to endpoints, relays and the list.
+//! Scripted faults: their start and end, and their effects on endpoints, relays and the endpoint list.
 
 use super::Day;
 use super::events::Event;
@@ -10,19 +10,19 @@
 use mountshift_scenario::ScriptedFaultKind;
 
 impl Day<'_> {
-    /// A trouble of the script begins or ends.
-    pub(super) fn change_fault(&mut self, fault_id: usize, begins: bool) {
+    /// Begins or ends a scripted fault.
+    pub(super) fn update_fault(&mut self, fault_id: usize, begins: bool) {
         let fault = self.world.faults[fault_id].clone();
         match fault.kind {
-            ScriptedFaultKind::Kill | ScriptedFaultKind::Waves => self.change_kill(fault_id, &fault, begins),
+            ScriptedFaultKind::Kill | ScriptedFaultKind::Waves => self.update_kill(fault_id, &fault, begins),
             ScriptedFaultKind::Stall if begins => self.begin_stall(&fault),
             ScriptedFaultKind::Stall => {}
-            ScriptedFaultKind::Cut => self.change_partition(fault_id, begins),
-            ScriptedFaultKind::ClockStep => self.change_clock_step(&fault, begins),
+            ScriptedFaultKind::Cut => self.update_partition(fault_id, begins),
+            ScriptedFaultKind::ClockStep => self.update_clock_step(&fault, begins),
             ScriptedFaultKind::WatchLost | ScriptedFaultKind::ListLate => {
-                self.change_discovery_fault(&fault, begins);
+                self.update_discovery_fault(&fault, begins);
             }
-            ScriptedFaultKind::ListWrong => self.change_wrong_list(&fault, begins),
+            ScriptedFaultKind::ListWrong => self.update_wrong_list(&fault, begins),
             ScriptedFaultKind::Drain | ScriptedFaultKind::Replace | ScriptedFaultKind::Readdress => {
                 if begins {
                     self.begin_replacements(fault_id, &fault);
@@ -33,16 +33,16 @@
             ScriptedFaultKind::ThrottleCount
             | ScriptedFaultKind::ThrottleRate
             | ScriptedFaultKind::ThrottleLies
-            | ScriptedFaultKind::ThrottleSpends => self.change_throttle(fault_id, &fault, begins),
+            | ScriptedFaultKind::ThrottleSpends => self.update_throttle(fault_id, &fault, begins),
             _ => {
                 for endpoint in fault.endpoints {
-                    self.change_endpoint_fault(endpoint, fault_id, begins);
+                    self.update_endpoint_fault(endpoint, fault_id, begins);
                 }
             }
         }
     }
 
-    fn change_kill(&mut self, fault_id: usize, fault: &ResolvedFault, begins: bool) {
+    fn update_kill(&mut self, fault_id: usize, fault: &ResolvedFault, begins: bool) {
         for relay in fault.relays.iter().copied() {
             if begins {
                 self.kill_relay(relay, fault_id);
@@ -59,11 +59,11 @@
         }
     }
 
-    /// A relay stands still; clients whose messages it has not read yet wait no longer than their patience.
+    /// Stalls a relay and schedules the timeouts of clients whose submissions it has not read yet.
     fn stall_relay(&mut self, relay: u32, until: Time) {
         let host = &mut self.relays[relay as usize];
         host.stalled_until = host.stalled_until.max(until);
-        let unread = host.inbox.iter().filter_map(|came| match came {
+        let unread = host.inbox.iter().filter_map(|event| match event {
             RelayEvent::Submitted { message, .. } => Some(*message),
             _ => None,
         });
@@ -74,21 +74,21 @@
         }
     }
 
-    fn change_partition(&mut self, fault_id: usize, begins: bool) {
+    fn update_partition(&mut self, fault_id: usize, begins: bool) {
         self.partitions.retain(|active| *active != fault_id);
         if begins {
             self.partitions.push(fault_id);
         }
     }
 
-    fn change_clock_step(&mut self, fault: &ResolvedFault, begins: bool) {
+    fn update_clock_step(&mut self, fault: &ResolvedFault, begins: bool) {
         let step = (fault.level * 1e6) as i64;
         for relay in &fault.relays {
             self.relays[*relay as usize].step_clock(if begins { step } else { -step });
         }
     }
 
-    fn change_discovery_fault(&mut self, fault: &ResolvedFault, begins: bool) {
+    fn update_discovery_fault(&mut self, fault: &ResolvedFault, begins: bool) {
         if !begins {
             self.discovery_faults -= 1;
             return;
@@ -101,14 +101,14 @@
         }
     }
 
-    fn change_wrong_list(&mut self, fault: &ResolvedFault, begins: bool) {
+    fn update_wrong_list(&mut self, fault: &ResolvedFault, begins: bool) {
         let status = if begins { EndpointStatus::Removed } else { EndpointStatus::Ready };
         for endpoint in fault.endpoints.iter().copied() {
             self.publish(endpoint, status);
         }
     }
 
-    fn change_throttle(&mut self, fault_id: usize, fault: &ResolvedFault, begins: bool) {
+    fn update_throttle(&mut self, fault_id: usize, fault: &ResolvedFault, begins: bool) {
         let routes = fault.endpoints.iter().map(|endpoint| self.servers[*endpoint as usize].setup.route);
         let mut routes: Vec<u32> = routes.collect();
         routes.dedup();
--- a/crates/lab/src/day/outages.rs
+++ b/crates/lab/src/day/outages.rs
@@ -1,4 +1,4 @@
-//! Troubles of endpoints: what they do to connections and work, and the outages of routes that follow.
+//! Endpoint faults: their effects on connections and work, and the outages of routes that result.
 
 use super::calls::Stage;
 use super::endpoints::FAILED_EFFECT_SHARE;
@@ -10,12 +10,13 @@
 use mountshift::interface::Outcome;
 use mountshift_invariants::Fact;
 
-/// An outage shorter than this starts no slow start: caches are still warm, and nobody can have learnt of it.
+/// Shortest outage that a slow start follows; after a shorter one caches are still warm, and no relay can have
+/// noticed it.
 const MIN_OUTAGE_BEFORE_SLOW_START: Time = 1_000_000;
 
 impl Day<'_> {
-    /// A trouble of an endpoint itself begins or ends.
-    pub(super) fn change_endpoint_fault(&mut self, endpoint: u32, fault: usize, begins: bool) {
+    /// Begins or ends a fault that affects an endpoint itself.
+    pub(super) fn update_endpoint_fault(&mut self, endpoint: u32, fault: usize, begins: bool) {
         let server = &mut self.servers[endpoint as usize];
         server.active_faults.retain(|active| *active != fault);
         if begins {
@@ -24,12 +25,12 @@
         let after = FaultEffects::new(&server.active_faults, &self.world.faults);
         let before = std::mem::replace(&mut server.effects, after.clone());
         let route = server.setup.route;
-        let dies = after.refuses && !before.refuses;
-        let returns = before.vanished && !after.vanished;
-        if dies || returns {
-            self.break_connections(endpoint, dies);
+        let starts_refusing = after.refuses && !before.refuses;
+        let reappears = before.vanished && !after.vanished;
+        if starts_refusing || reappears {
+            self.break_connections(endpoint, starts_refusing);
         } else if after.vanished && !before.vanished {
-            self.lose_work(endpoint);
+            self.discard_work(endpoint);
         }
         self.update_outage(route);
         if after.frozen_until > self.now {
@@ -39,8 +40,8 @@
         }
     }
 
-    /// What an endpoint worked on is lost, some of it after it took effect.
-    fn lose_work(&mut self, endpoint: u32) {
+    /// Discards the queued and running calls of an endpoint; a part of the running calls takes effect first.
+    fn discard_work(&mut self, endpoint: u32) {
         let server = &mut self.servers[endpoint as usize];
         server.busy = 0;
         let running = std::mem::take(&mut server.running);
@@ -49,16 +50,16 @@
             if self.world.random.uniform(Purpose::FailedCallEffect, call, 1) < FAILED_EFFECT_SHARE {
                 self.apply_effects(call);
             }
-            self.endpoint_done(call);
+            self.finish_at_endpoint(call);
         }
         for call in queued {
-            self.endpoint_done(call);
+            self.finish_at_endpoint(call);
         }
     }
 
-    /// All connections of an endpoint break; relays notice at once if it says so (`announced`).
+    /// Breaks all connections of an endpoint; if `announced`, relays receive a reset at once.
     pub(super) fn break_connections(&mut self, endpoint: u32, announced: bool) {
-        self.lose_work(endpoint);
+        self.discard_work(endpoint);
         let server = &mut self.servers[endpoint as usize];
         server.epoch += 1;
         server.connections = 0;
@@ -68,26 +69,26 @@
         for call_id in calls {
             let call = &self.calls[&call_id];
             let relay = call.relay;
-            if call.stage == Stage::OnTheWay {
+            if call.stage == Stage::InTransit {
                 continue;
             }
-            // A machine that is back tells of old connections when it is next written to.
+            // A host that is back responds with a reset when data arrives on an old connection.
             let noticed = if announced { self.network_delay(relay, endpoint) } else { ANSWER_DELAY };
             let silence = self.silent_until(relay, endpoint).saturating_sub(self.now);
             self.fail_call(call_id, Outcome::Reset, noticed + silence);
         }
     }
 
-    /// Looks whether a route's outage begins or ends with a change at one of its endpoints.
+    /// Begins or ends the outage of a route after a change at one of its endpoints.
     pub(super) fn update_outage(&mut self, route_id: u32) {
         let now = self.now;
-        let out = self.all_endpoints_out(route_id);
+        let all_out = self.all_endpoints_out(route_id);
         let route = &mut self.routes[route_id as usize];
-        if out == route.in_outage || route.overloaded {
+        if all_out == route.in_outage || route.overloaded {
             return;
         }
-        route.in_outage = out;
-        if out {
+        route.in_outage = all_out;
+        if all_out {
             route.slow_start_since = None;
             route.outage_since = now;
             self.record(Fact::OutageStarted { route: route_id });
@@ -97,7 +98,7 @@
         }
     }
 
-    /// True if the route has endpoints in service and none of them serves.
+    /// Returns whether the route has endpoints in service and all of them are out.
     fn all_endpoints_out(&self, route_id: u32) -> bool {
         let endpoints = &self.routes[route_id as usize].endpoints;
         let servers = endpoints.iter().map(|endpoint| &self.servers[*endpoint as usize]);
@@ -105,7 +106,7 @@
         in_service.peek().is_some() && in_service.all(|server| server.effects.is_out())
     }
 
-    /// A route in slow start was sent more than it bears: it is down for the rest of the day.
+    /// Takes a route down for the rest of the day, after it received more calls than it can handle in slow start.
     pub(super) fn overload_route(&mut self, route_id: u32) {
         self.record(Fact::RouteOverloaded { route: route_id });
         let route = &mut self.routes[route_id as usize];
--- a/crates/lab/src/day/relays.rs
+++ b/crates/lab/src/day/relays.rs
@@ -1,4 +1,4 @@
-//! Relays: their steps, what comes of their actions, their starts and deaths.
+//! Relays: their steps, the effects of these steps, and the start and end of their processes.
 
 use super::clients::ClientState;
 use super::events::Event;
@@ -13,14 +13,15 @@
 use mountshift_invariants::{Fact, FinalAnswer};
 use rayon::prelude::*;
 
-/// The platform acknowledges a notification after this span.
+/// Delay after which the platform acknowledges a notification.
 const NOTIFICATION_DELAY: Time = 1_000;
-/// Number of relays from which steps are played in parallel; below it threads cost more than they save.
+/// Smallest number of due relays whose steps run in parallel; below it threads cost more than they save.
 const PARALLEL_MIN: usize = 8;
-/// A route that warms up counts with this share of its capacity at least, so that workers are never divided away.
-const MIN_TRUE_SHARE: f64 = 0.05;
+/// Smallest share of capacity with which a route in slow start is shown to the omniscient policy, so that a part of
+/// its workers always counts.
+const MIN_SLOW_START_SHARE: f64 = 0.05;
 
-/// The point of its work at which a relay's process dies.
+/// The point within a step at which a relay's process is killed.
 #[derive(Clone, Copy)]
 enum KillPoint {
     BeforeStep,
@@ -32,8 +33,8 @@
     const ALL: [KillPoint; 3] =
         [KillPoint::BeforeStep, KillPoint::AfterSpoolWrite, KillPoint::BetweenSocketWrites];
 
-    /// How many outward actions of the step under way get out; none if no step is played.
-    fn completed_actions(self) -> Option<usize> {
+    /// Returns the number of outgoing effects that are completed before the kill, or `None` if the step doesn't run.
+    fn completed_effects(self) -> Option<usize> {
         match self {
             KillPoint::BeforeStep => None,
             KillPoint::AfterSpoolWrite => Some(0),
@@ -43,14 +44,14 @@
 }
 
 impl Day<'_> {
-    /// Plays the steps of all relays that are due.
+    /// Runs the steps of all relays that are due.
     pub(super) fn step_relays(&mut self) {
         if self.options.policy.is_omniscient() {
             self.step_relays_with_truth();
             return;
         }
         let now = self.now;
-        let mut due: Vec<&mut Relay> = self.relays.iter_mut().filter(|relay| relay.due(now)).collect();
+        let mut due: Vec<&mut Relay> = self.relays.iter_mut().filter(|relay| relay.is_due(now)).collect();
         if due.len() >= PARALLEL_MIN {
             due.par_iter_mut().for_each(|relay| relay.step(now, None));
         } else {
@@ -59,21 +60,21 @@
             }
         }
         for relay in 0..self.relays.len() {
-            if self.relays[relay].last_round == now {
-                self.perform_actions(relay as u32, usize::MAX);
+            if self.relays[relay].last_step_at == now {
+                self.perform_effects(relay as u32, usize::MAX);
             }
         }
     }
 
-    /// One after another: each sees what those before it have sent.
+    /// Runs due steps one after another, so that each relay sees the capacity that earlier relays have used.
     fn step_relays_with_truth(&mut self) {
         self.refresh_truth();
         for relay in 0..self.relays.len() {
-            if self.relays[relay].due(self.now) {
+            if self.relays[relay].is_due(self.now) {
                 let mut truth = std::mem::take(&mut self.truth);
                 self.relays[relay].step(self.now, Some(&mut truth));
                 self.truth = truth;
-                self.perform_actions(relay as u32, usize::MAX);
+                self.perform_effects(relay as u32, usize::MAX);
             }
         }
     }
@@ -82,19 +83,19 @@
         let now = self.now;
         let world = &self.world;
         let routes = self.routes.iter_mut().map(|route| route.calls_allowed(now, world)).collect();
-        let endpoints = self.servers.iter().map(|server| self.true_state(server)).collect();
+        let endpoints = self.servers.iter().map(|server| self.endpoint_truth(server)).collect();
         self.truth = GroundTruth { endpoints, route_allowances: routes };
     }
 
-    fn true_state(&self, listed: &Server) -> EndpointTruth {
-        // Who is reached is whoever has the address now.
+    fn endpoint_truth(&self, listed: &Server) -> EndpointTruth {
+        // A call reaches the endpoint that has the address now.
         let mut server = listed;
         while let Some(next) = server.successor {
             server = &self.servers[next as usize];
         }
         let route = &self.routes[server.setup.route as usize];
         let serves = !server.removed && !server.effects.is_out() && !route.overloaded;
-        let share = route.capacity_share(self.now, &self.world).max(MIN_TRUE_SHARE);
+        let share = route.capacity_share(self.now, &self.world).max(MIN_SLOW_START_SHARE);
         let workers = f64::from(server.workers) * share;
         let free = workers - f64::from(server.busy) - server.queue.len() as f64;
         EndpointTruth {
@@ -105,42 +106,42 @@
         }
     }
 
-    /// Starts a relay's process, with what its spool and its endpoint list hold.
+    /// Starts a relay's process with the contents of its spool and its last endpoint list.
     pub(super) fn start_relay(&mut self, relay: u32) {
-        let sees_all = self.options.policy.is_omniscient();
-        if sees_all {
+        let is_omniscient = self.options.policy.is_omniscient();
+        if is_omniscient {
             self.refresh_truth();
         }
         let mut truth = std::mem::take(&mut self.truth);
-        let seen = if sees_all { Some(&mut truth) } else { None };
-        self.relays[relay as usize].start(&self.world, &*self.policy_factory, self.now, seen);
+        let visible_truth = if is_omniscient { Some(&mut truth) } else { None };
+        self.relays[relay as usize].start(&self.world, &*self.policy_factory, self.now, visible_truth);
         self.truth = truth;
-        self.perform_actions(relay, usize::MAX);
+        self.perform_effects(relay, usize::MAX);
     }
 
-    /// Performs a relay's actions in their order. If its process dies meanwhile, only the first `completed` of
-    /// those that leave the process get out.
-    fn perform_actions(&mut self, relay: u32, completed: usize) {
-        let mut begun = 0;
-        for action in self.relays[relay as usize].take_effects() {
-            if leaves_process(&action) {
-                begun += 1;
+    /// Performs a relay's effects in their order. If its process is killed during the step, only the first `completed`
+    /// outgoing effects are performed.
+    fn perform_effects(&mut self, relay: u32, completed: usize) {
+        let mut outgoing = 0;
+        for effect in self.relays[relay as usize].take_effects() {
+            if is_outgoing(&effect) {
+                outgoing += 1;
             }
-            // What was learnt was learnt; what was sent counts only if it got out.
-            let gets_out = match &action {
-                RelayEffect::Fact(fact) => is_observation(fact) || begun < completed,
-                _ => begun <= completed,
+            // Observed facts are always recorded, other facts only if the next outgoing effect is performed.
+            let is_performed = match &effect {
+                RelayEffect::Fact(fact) => is_observation(fact) || outgoing < completed,
+                _ => outgoing <= completed,
             };
-            if gets_out {
-                self.perform(relay, action);
+            if is_performed {
+                self.perform_effect(relay, effect);
             }
         }
     }
 
     fn record_from_relay(&mut self, fact: Fact) {
         match fact {
-            Fact::AttemptEnded { outcome: end, .. } => {
-                *self.statistics.attempt_ends.entry(attempt_end_name(end)).or_default() += 1;
+            Fact::AttemptEnded { outcome, .. } => {
+                *self.statistics.attempt_ends.entry(attempt_end_name(outcome)).or_default() += 1;
             }
             Fact::AttemptStarted { .. } => {
                 self.attempts += 1;
@@ -151,8 +152,8 @@
         self.record(fact);
     }
 
-    fn perform(&mut self, relay: u32, action: RelayEffect) {
-        match action {
+    fn perform_effect(&mut self, relay: u32, effect: RelayEffect) {
+        match effect {
             RelayEffect::Fact(fact) => self.record_from_relay(fact),
             RelayEffect::StartCall { call, endpoint, messages, timeout } => {
                 self.start_call(relay, call, endpoint, messages, timeout);
@@ -173,34 +174,34 @@
         self.statistics.read_log_line(&self.world, relay, self.now, line);
     }
 
-    /// Sends a final answer to the platform, which passes it on to the client at once and acknowledges it later.
+    /// Sends a final answer to the platform, which forwards it to the client at once and acknowledges it later.
     fn send_notification(&mut self, message: u64, end: FinalAnswer) {
         self.schedule(self.now + NOTIFICATION_DELAY, Event::NotificationAcknowledged { message });
-        self.message_ended(message, end);
+        self.end_message(message, end);
     }
 
-    /// Ends a relay's process without notice.
+    /// Kills a relay's process without warning, at a drawn point of a step.
     pub(super) fn kill_relay(&mut self, relay: u32, fault: usize) {
         if !self.relays[relay as usize].up {
             return;
         }
-        self.play_interrupted_step(relay, fault);
+        self.run_interrupted_step(relay, fault);
         self.relays[relay as usize].kill();
         self.record(Fact::RelayDown { relay });
         self.drop_connections_of_relay(relay);
         self.time_out_clients_of_relay(relay);
     }
 
-    fn play_interrupted_step(&mut self, relay: u32, fault: usize) {
+    fn run_interrupted_step(&mut self, relay: u32, fault: usize) {
         let count = KillPoint::ALL.len();
         let drawn = self.world.random.index(Purpose::KillPoint, count, fault as u64, u64::from(relay));
         let stalled = self.relays[relay as usize].stalled_until > self.now;
         if stalled || self.options.policy.is_omniscient() {
             return;
         }
-        if let Some(completed) = KillPoint::ALL[drawn].completed_actions() {
+        if let Some(completed) = KillPoint::ALL[drawn].completed_effects() {
             self.relays[relay as usize].step(self.now, None);
-            self.perform_actions(relay, completed);
+            self.perform_effects(relay, completed);
         }
     }
 
@@ -209,7 +210,7 @@
         let mut calls: Vec<u64> = calls.map(|(id, _)| *id).collect();
         calls.sort_unstable();
         for call in calls {
-            self.hang_up(call);
+            self.abandon_call(call);
         }
         let pools = self.idle_connections.keys().filter(|pool| pool.0 == relay);
         let mut pools: Vec<(u32, u32)> = pools.copied().collect();
@@ -227,20 +228,20 @@
         let mut waiting: Vec<u64> = waiting.map(|(id, _)| *id).collect();
         waiting.sort_unstable();
         for message in waiting {
-            self.client_timeout(message);
+            self.handle_client_timeout(message);
         }
     }
 }
 
-/// True for what other processes see: it gets out only if the relay lives long enough.
-fn leaves_process(action: &RelayEffect) -> bool {
+/// Returns whether an effect is visible to other processes.
+fn is_outgoing(effect: &RelayEffect) -> bool {
     matches!(
-        action,
+        effect,
         RelayEffect::StartCall { .. } | RelayEffect::AnswerClient { .. } | RelayEffect::Notify { .. }
     )
 }
 
-/// True for facts that a relay has learnt from others, as opposed to those that it makes.
+/// Returns whether a fact reports something that a relay received, as opposed to its own decisions.
 fn is_observation(fact: &Fact) -> bool {
     matches!(fact, Fact::AttemptEnded { .. } | Fact::RetryAfterReceived { .. })
 }
--- a/crates/lab/src/day/replacement.rs
+++ b/crates/lab/src/day/replacement.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are taken out of service, and those that take their place.
+//! Endpoints that are taken out of service, and their replacements.
 
 use super::Day;
 use crate::route::Route;
@@ -7,14 +7,14 @@
 use mountshift::interface::EndpointStatus;
 use mountshift_scenario::ScriptedFaultKind;
 
-/// An endpoint and the one that takes its place.
+/// An endpoint and its replacement.
 pub(super) struct Replacement {
     old: u32,
     new: u32,
 }
 
 impl Day<'_> {
-    /// The endpoints of a trouble are drained, replaced, or lose their addresses to others.
+    /// Begins a fault that drains endpoints, replaces them, or gives their addresses to other endpoints.
     pub(super) fn begin_replacements(&mut self, fault_id: usize, fault: &ResolvedFault) {
         for old in fault.endpoints.iter().copied() {
             if self.servers[old as usize].removed {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The endpoint list learns what became of the trouble's endpoints.
+    /// Ends a fault that replaces endpoints, and publishes the changes in the endpoint list.
     pub(super) fn end_replacements(&mut self, fault_id: usize, kind: ScriptedFaultKind) {
         for Replacement { old, new } in self.replacements.remove(&fault_id).unwrap_or_default() {
             if kind == ScriptedFaultKind::Drain {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sets up an endpoint of the same kind, on a route of its own where endpoints have limits of their own.
+    /// Adds an endpoint of the same group, on a route of its own where the group's endpoints have separate limits.
     fn add_replacement(&mut self, old: u32) -> u32 {
         let new = self.servers.len() as u32;
         let mut setup = self.servers[old as usize].setup;
--- a/crates/lab/src/day/trace.rs
+++ b/crates/lab/src/day/trace.rs
@@ -1,4 +1,4 @@
-//! The trace of a day: every fact is hashed, shown to whoever watches, and checked against the rules.
+//! The trace of a day: every fact is hashed, passed to the observer, and checked against the invariants.
 
 use super::{Day, DayObservation};
 use mountshift_invariants::{AttemptOutcome, Fact, FinalAnswer};
@@ -18,7 +18,7 @@
     }
 }
 
-/// What tells two traces apart: the kind of a fact, about whom, and what it says.
+/// Returns the words of a fact that enter the trace's digest: its kind, its subject and its contents.
 fn digest_words(fact: Fact) -> [u64; 4] {
     match fact {
         Fact::AttemptStarted { message, call, relay, endpoint } => {
@@ -35,17 +35,17 @@
     }
 }
 
-/// The end of an attempt, its code in the highest byte and its Retry-After below. The codes are part of each
-/// trace's digest, which is why a rejection is 0 and all others stand one above their number.
-fn attempt_end_word(end: AttemptOutcome) -> u64 {
-    match end {
+/// Returns the outcome of an attempt with its code in the highest byte and its Retry-After below. The codes are part
+/// of each trace's digest and stay fixed: a rejection is 0, every other outcome is its number plus 1.
+fn attempt_end_word(outcome: AttemptOutcome) -> u64 {
+    match outcome {
         AttemptOutcome::Rejected { retry_after } => retry_after,
         other => (1 + attempt_end_number(other)) << 56,
     }
 }
 
-fn attempt_end_number(end: AttemptOutcome) -> u64 {
-    match end {
+fn attempt_end_number(outcome: AttemptOutcome) -> u64 {
+    match outcome {
         AttemptOutcome::Delivered => 0,
         AttemptOutcome::Error => 1,
         AttemptOutcome::Rejected { retry_after: _ } => 2,
@@ -57,9 +57,9 @@
     }
 }
 
-/// The end of an attempt as results name it.
-pub(super) fn attempt_end_name(end: AttemptOutcome) -> &'static str {
-    match end {
+/// Returns the name of an attempt outcome in the results.
+pub(super) fn attempt_end_name(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
         AttemptOutcome::Delivered => "delivered",
         AttemptOutcome::Error => "error",
         AttemptOutcome::Rejected { retry_after: _ } => "full",
--- a/crates/lab/src/host/clock.rs
+++ b/crates/lab/src/host/clock.rs
@@ -1,5 +1,5 @@
-//! The two clocks of a modelled relay: Unix time, which troubles may step, and the time of its decisions, which
-//! runs evenly from the start of the process.
+//! The two clocks of a modelled relay: the Unix clock, which faults may step, and the monotonic clock of its decisions,
+//! which starts with the process.
 
 use crate::Time;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 /// A Unix time in microseconds.
 pub(super) type UnixTime = i64;
 
-/// Where Unix time stands when a day begins: so far from zero that a clock that is stepped back stays above it.
+/// Unix time at the start of a day, in microseconds; large enough that a clock that is stepped back stays positive.
 const UNIX_TIME_OF_DAY_START: UnixTime = 1_000_000_000_000;
 
-/// A clock that tells Unix time and can be stepped.
+/// A Unix clock that can be stepped.
 #[derive(Clone, Copy, Default)]
 pub(super) struct UnixClock {
-    /// By how many microseconds it has been stepped.
+    /// Sum of the steps so far, in microseconds.
     step: i64,
 }
 
@@ -27,17 +27,17 @@
     }
 }
 
-/// The clock of the decisions: spans since a moment that lies before every attempt in the spool.
+/// The monotonic clock of the decisions. Its zero lies before every attempt in the spool.
 #[derive(Clone, Copy, Default)]
 pub(super) struct DecisionClock {
     started_at: Time,
     started_at_unix: UnixTime,
-    /// How long before the start of the process the spans begin, in microseconds.
+    /// Time from the clock's zero to the start of the process, in microseconds.
     lead: i64,
 }
 
 impl DecisionClock {
-    /// Starts with the process; `oldest` is the oldest attempt in its spool.
+    /// Starts the clock with the process; `oldest` is the time of the oldest attempt in the spool.
     pub(super) fn start(now: Time, unix: UnixTime, oldest: Option<UnixTime>) -> DecisionClock {
         let lead = oldest.map_or(0, |oldest| (unix - oldest).max(0));
         DecisionClock { started_at: now, started_at_unix: unix, lead }
--- a/crates/lab/src/host/dispatcher.rs
+++ b/crates/lab/src/host/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher state of a modelled relay: turns events into inputs of the policy, and takes the policy's
-//! actions. What was decided is stored in the spool before anything of it goes out.
+//! The dispatcher of a modelled relay: converts events to inputs of the policy and carries out the policy's actions.
+//! Decisions are stored in the spool before their effects become visible outside the relay.
 
 use super::clock::{DecisionClock, UnixClock};
 use super::messages::{AttemptEnd, RelayEffect, RelayEvent};
@@ -11,10 +11,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Calls are numbered within a relay, with the relay's number above these bits.
+/// Number of low bits of a call id that hold the call's number within its relay; the relay's number is above them.
 const CALL_NUMBER_BITS: u32 = 40;
 
-/// An endpoint as the list described it last.
+/// An endpoint with the contents of its last entry in the endpoint list.
 #[derive(Clone, Copy)]
 pub(super) struct KnownEndpoint {
     pub status: EndpointStatus,
@@ -32,42 +32,42 @@
     cancelled: Vec<u64>,
 }
 
-/// An attempt that the policy has sent in this step.
+/// An attempt that the policy has requested in this step.
 #[derive(Clone, Copy)]
 struct QueuedAttempt {
     message: u64,
     timeout: Time,
 }
 
-/// The attempts to one endpoint that the policy has sent in this step.
+/// The attempts to one endpoint that the policy has requested in this step.
 struct QueuedAttempts {
     endpoint: u32,
     attempts: Vec<QueuedAttempt>,
 }
 
-/// What a relay holds beside its policy.
+/// The state of a relay outside its policy.
 pub(super) struct DispatcherState {
     pub relay: u32,
     pub now: Time,
     pub clock: DecisionClock,
     pub unix_clock: UnixClock,
-    /// Messages in one call at most, by kind of destination.
+    /// Largest number of messages in one call, by destination kind.
     max_batch: Vec<usize>,
     max_queued: usize,
     pub spool: BTreeMap<u64, StoredMessage>,
     pub endpoints: BTreeMap<u32, KnownEndpoint>,
-    /// Messages whose clients wait to hear that they are accepted, in the order of their submission.
+    /// Messages whose clients wait for the acceptance, in the order of their submission.
     pub unanswered: Vec<u64>,
     queued: Vec<QueuedAttempts>,
     pub calls: BTreeMap<u64, CallInFlight>,
     calls_started: u64,
-    /// When the policy wants its next step.
+    /// Time of the next step that the policy requested.
     pub wake_at: Option<Time>,
     pub effects: Vec<RelayEffect>,
     pub keep_log: bool,
 }
 
-/// The model's endpoints count from 0, the ids of the interface from 1.
+/// Returns the interface's id of an endpoint: ids start at 1, the model's numbers at 0.
 fn endpoint_id(endpoint: u32) -> EndpointId {
     EndpointId(u64::from(endpoint) + 1)
 }
@@ -98,7 +98,7 @@
         let holds_message = |call: &CallInFlight| call.messages.contains(&message.0);
         let Some((id, call)) = self.calls.iter_mut().find(|(_, call)| holds_message(call)) else { return };
         call.cancelled.push(message.0);
-        // One message can't be taken out of a call: it would still be in flight on an open connection.
+        // A message can't be removed from a call: while the connection is open, its attempt would still be in flight.
         if call.messages.iter().all(|message| call.cancelled.contains(message)) {
             self.effects.push(RelayEffect::CloseCall { call: *id });
         }
@@ -155,8 +155,8 @@
         self.effects.push(RelayEffect::Fact(fact));
     }
 
-    /// Gives a final answer that is no delivery: to the client if it waits, else as a notification. True if that
-    /// ends the message at once.
+    /// Gives a final answer other than a delivery: to the client if it still waits, else as a notification. Returns
+    /// whether that closes the message at once.
     fn end_undelivered(&mut self, message: u64, end: FinalAnswer) -> bool {
         self.record(Fact::FinalAnswerGiven { message, relay: self.relay, answer: end });
         if let Some(position) = self.unanswered.iter().position(|waiting| *waiting == message) {
@@ -172,7 +172,7 @@
         false
     }
 
-    /// Takes an event in, and adds what the policy must know of it to `inputs`.
+    /// Applies an event to the state, and adds the resulting inputs of the policy to `inputs`.
     pub(super) fn apply(&mut self, event: RelayEvent, inputs: &mut Vec<Input>) {
         match event {
             RelayEvent::Submitted { message, class, tenant, destination, key, deadline } => {
@@ -187,7 +187,7 @@
                 };
                 self.on_submitted(message, submission, deadline, inputs);
             }
-            RelayEvent::ClientGone { message } | RelayEvent::NotificationTaken { message } => {
+            RelayEvent::ClientGone { message } | RelayEvent::NotificationAcknowledged { message } => {
                 self.spool.remove(&message);
                 inputs.push(Input::Closed(MessageId(message)));
             }
@@ -244,7 +244,7 @@
     }
 
     fn record_attempt_end(&mut self, call: u64, message: u64, outcome: Outcome, closed: bool) {
-        let end = fact_of_outcome(outcome);
+        let end = attempt_outcome(outcome);
         self.record(Fact::AttemptEnded { message, call, relay: self.relay, outcome: end });
         if RunState::from_outcome(outcome) == RunState::NeverRan
             && let Some(stored) = self.spool.get_mut(&message)
@@ -261,11 +261,11 @@
         let Some(known) = self.endpoints.get_mut(&endpoint) else { return };
         known.status = status;
         let known = *known;
-        self.list_endpoint(endpoint, known, inputs);
+        self.push_endpoint(endpoint, known, inputs);
     }
 
-    /// Tells the policy of an endpoint.
-    pub(super) fn list_endpoint(&mut self, endpoint: u32, known: KnownEndpoint, inputs: &mut Vec<Input>) {
+    /// Adds an entry of the endpoint list to the inputs of the policy.
+    pub(super) fn push_endpoint(&mut self, endpoint: u32, known: KnownEndpoint, inputs: &mut Vec<Input>) {
         let listed = match known.status {
             EndpointStatus::Ready => ListedStatus::Ready,
             EndpointStatus::Draining => ListedStatus::Draining,
@@ -282,7 +282,7 @@
         }));
     }
 
-    /// Stores what was decided in the spool, then lets it out.
+    /// Stores the attempts of this step in the spool, then accepts the submitted messages and starts the calls.
     pub(super) fn flush(&mut self) {
         let batches = self.store_queued_attempts();
         for message in std::mem::take(&mut self.unanswered) {
@@ -315,7 +315,7 @@
 
     fn start_call(&mut self, batch: QueuedAttempts) {
         let endpoint = batch.endpoint;
-        // A call ends at the shortest limit of its messages.
+        // A call has the shortest timeout of its attempts.
         let timeout = batch.attempts.iter().map(|attempt| attempt.timeout).min().unwrap_or_default();
         let messages: Vec<u64> = batch.attempts.iter().map(|attempt| attempt.message).collect();
         self.calls_started += 1;
@@ -330,7 +330,7 @@
     }
 }
 
-fn fact_of_outcome(outcome: Outcome) -> AttemptOutcome {
+fn attempt_outcome(outcome: Outcome) -> AttemptOutcome {
     match outcome {
         Outcome::Delivered => AttemptOutcome::Delivered,
         Outcome::Error => AttemptOutcome::Error,
--- a/crates/lab/src/host/messages.rs
+++ b/crates/lab/src/host/messages.rs
@@ -1,53 +1,53 @@
-//! What comes to a modelled relay, and what it does to the model around it.
+//! The events that a modelled relay receives, and its effects on the rest of the model.
 
 use crate::Time;
 use mountshift::interface::{EndpointStatus, Outcome};
 use mountshift_invariants::{Fact, FinalAnswer};
 
-/// What comes to a relay.
+/// An event that a relay receives.
 #[derive(Clone, Debug)]
 pub(crate) enum RelayEvent {
     /// A client submits a message.
     Submitted { message: u64, class: u16, tenant: u32, destination: u32, key: u64, deadline: Time },
-    /// The client gave up before it heard that its message was accepted.
+    /// The client stopped waiting before its message was accepted.
     ClientGone { message: u64 },
-    /// A call ended, for each of its messages in its own way.
+    /// A call ended, with one end for each of its messages.
     CallEnded { call: u64, ends: Vec<AttemptEnd>, retry_after: Time },
-    /// Discovery answers with the full endpoint list; its entries follow.
+    /// Discovery responds with the full endpoint list; its entries follow.
     FullListBegins,
     /// An entry of the endpoint list or of a list update.
     EndpointListed { endpoint: u32, status: EndpointStatus },
     /// A poll of the endpoint list failed, or the watch on it was lost.
     PollFailed,
-    /// The receiver of a notification has taken it.
-    NotificationTaken { message: u64 },
+    /// The recipient has acknowledged the notification of a message's end.
+    NotificationAcknowledged { message: u64 },
 }
 
-/// How the attempt for one message of a call ended.
+/// The end of one message's attempt in a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptEnd {
     pub message: u64,
     pub outcome: Outcome,
-    /// Nothing more is sent for the message.
+    /// Whether the message is closed: no further attempt follows.
     pub closed: bool,
 }
 
-/// What a relay does.
+/// An effect of a relay on the rest of the model.
 #[derive(Clone, Debug)]
 pub(crate) enum RelayEffect {
-    /// Something that the invariant checker must see.
+    /// Records a fact for the invariant checker.
     Fact(Fact),
     /// Starts a call to an endpoint.
     StartCall { call: u64, endpoint: u32, messages: Vec<u64>, timeout: Time },
-    /// Answers a client that waits: that the message is accepted, or its final answer.
+    /// Answers a waiting client: the message is accepted if `end` is `None`, else its final answer.
     AnswerClient { message: u64, end: Option<FinalAnswer> },
-    /// Sends the notification of a final answer for which no client waits.
+    /// Sends the notification of an end whose client no longer waits.
     Notify { message: u64, end: FinalAnswer },
     /// Closes the connection of a call that is in flight.
     CloseCall { call: u64 },
     /// Closes the idle connections to an endpoint.
     CloseIdleConnections { endpoint: u32 },
-    /// Asks discovery for the endpoint list.
+    /// Polls discovery for the endpoint list.
     PollEndpoints,
     /// Writes a line to the relay's log.
     Log(String),
--- a/crates/lab/src/host/mod.rs
+++ b/crates/lab/src/host/mod.rs
@@ -1,5 +1,5 @@
-//! A relay of the model: collects what came between its steps, takes the policy's actions, keeps a spool in step
-//! with them and starts again from it, in the way of the relay on sockets.
+//! A modelled relay: collects events between its steps, carries out the policy's actions, stores them in a spool and
+//! restarts from it, as the real relay does.
 
 mod clock;
 mod dispatcher;
@@ -19,18 +19,18 @@
 
 /// A modelled relay.
 pub(crate) struct Relay {
-    /// None while the process is down.
+    /// `None` while the process is down.
     policy: Option<Box<dyn Policy>>,
     dispatcher: DispatcherState,
-    /// What came since the last step.
+    /// Events received since the last step.
     pub inbox: Vec<RelayEvent>,
     inputs: Vec<Input>,
-    pub last_round: Time,
+    pub last_step_at: Time,
     pub up: bool,
-    /// Its process has a watch that stands.
+    /// Whether the process has an established watch on the endpoint list.
     pub watching: bool,
     pub stalled_until: Time,
-    starts: u64,
+    start_count: u64,
 }
 
 impl Relay {
@@ -40,16 +40,15 @@
             dispatcher: DispatcherState::new(world, relay, keep_log),
             inbox: Vec::new(),
             inputs: Vec::new(),
-            last_round: 0,
+            last_step_at: 0,
             up: false,
             watching: false,
             stalled_until: 0,
-            starts: 0,
+            start_count: 0,
         }
     }
 
-    /// Starts the process, with the endpoint list as it had it last and what the spool holds; plays its first
-    /// step.
+    /// Starts the process with the last endpoint list and the contents of the spool, and runs its first step.
     pub(crate) fn start(
         &mut self,
         world: &World,
@@ -61,8 +60,8 @@
         self.start_clock(now);
         self.dispatcher.calls.clear();
         self.dispatcher.wake_at = None;
-        self.policy = Some(build_policy(world.policy_settings(relay, self.starts)));
-        self.starts += 1;
+        self.policy = Some(build_policy(world.policy_settings(relay, self.start_count)));
+        self.start_count += 1;
         self.up = true;
         self.stalled_until = 0;
         self.dispatcher.record(Fact::RelayUp { relay });
@@ -78,15 +77,15 @@
         self.dispatcher.clock = DecisionClock::start(now, unix, oldest);
     }
 
-    /// Tells the policy of the endpoint list as an earlier process had it.
+    /// Passes the last endpoint list of the earlier process to the policy.
     fn restore_endpoints(&mut self) {
         self.inputs.extend([Input::FullListBegins, Input::ListReceived]);
         for (endpoint, known) in self.dispatcher.endpoints.clone() {
-            self.dispatcher.list_endpoint(endpoint, known, &mut self.inputs);
+            self.dispatcher.push_endpoint(endpoint, known, &mut self.inputs);
         }
     }
 
-    /// Tells the policy of what the spool holds.
+    /// Passes the contents of the spool to the policy.
     fn restore_messages(&mut self) {
         for (message, stored) in self.dispatcher.spool.clone() {
             self.restore_message(message, stored);
@@ -118,8 +117,8 @@
         self.dispatcher.keep_log = true;
     }
 
-    /// Makes an endpoint known that this relay may not know yet; what it knows already stays.
-    pub(crate) fn learn(
+    /// Adds an endpoint if the relay does not know it yet; a known entry is not changed.
+    pub(crate) fn add_endpoint(
         &mut self,
         world: &World,
         setup: &EndpointSetup,
@@ -136,13 +135,13 @@
         self.dispatcher.endpoints.entry(endpoint).or_insert(known);
     }
 
-    /// True if a step is due.
-    pub(crate) fn due(&self, now: Time) -> bool {
+    /// Returns whether a step is due.
+    pub(crate) fn is_due(&self, now: Time) -> bool {
         let wakes = self.dispatcher.wake_at.is_some_and(|at| at <= now);
         self.up && now >= self.stalled_until && (wakes || !self.inbox.is_empty())
     }
 
-    /// When it wakes by itself.
+    /// Returns the time of the next step that the policy requested, if the process is up.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         if !self.up {
             return None;
@@ -150,9 +149,9 @@
         self.dispatcher.wake_at.map(|at| at.max(self.stalled_until))
     }
 
-    /// Takes in what came, has the policy decide, and lets its actions out.
+    /// Applies the received events, runs a step of the policy, and collects its effects.
     pub(crate) fn step(&mut self, now: Time, truth: Option<&mut GroundTruth>) {
-        self.last_round = now;
+        self.last_step_at = now;
         self.dispatcher.now = now;
         self.dispatcher.wake_at = self.dispatcher.wake_at.filter(|at| *at > now);
         for event in self.inbox.drain(..) {
@@ -165,12 +164,12 @@
         self.dispatcher.flush();
     }
 
-    /// What was done since the last call.
+    /// Takes the effects since the last call.
     pub(crate) fn take_effects(&mut self) -> Vec<RelayEffect> {
         std::mem::take(&mut self.dispatcher.effects)
     }
 
-    /// Ends the process, with all but its spool and the endpoint list as it had it.
+    /// Kills the process: all state is lost except the spool and the endpoint list.
     pub(crate) fn kill(&mut self) {
         self.policy = None;
         self.up = false;
@@ -186,8 +185,8 @@
         self.dispatcher.unix_clock.step(by);
     }
 
-    /// Messages in the spool.
-    pub(crate) fn held(&self) -> usize {
+    /// Returns the number of messages in the spool.
+    pub(crate) fn held_messages(&self) -> usize {
         self.dispatcher.spool.len()
     }
 
--- a/crates/lab/src/host/spool.rs
+++ b/crates/lab/src/host/spool.rs
@@ -1,17 +1,17 @@
-//! What the spool of a modelled relay keeps. Its times are Unix times, as they must outlive the process.
+//! The contents of a modelled relay's spool. Times are Unix times, because they must remain valid after a restart.
 
 use super::clock::UnixTime;
 use mountshift::interface::{Submission, ZoneId};
 use mountshift_invariants::FinalAnswer;
 
-/// An accepted message that is not over.
+/// An accepted message that is not closed.
 #[derive(Clone, Debug)]
 pub(super) struct StoredMessage {
-    /// As the process that accepted it knew it; its deadline there is a span of that process.
+    /// The submission as the accepting process received it; its deadline is on that process's decision clock.
     pub submission: Submission,
     pub deadline: UnixTime,
     pub attempts: Vec<StoredAttempt>,
-    /// The final answer that was given and has not been taken yet.
+    /// The final answer whose notification is not acknowledged yet.
     pub pending_end: Option<FinalAnswer>,
 }
 
@@ -20,6 +20,6 @@
 pub(super) struct StoredAttempt {
     pub zone: ZoneId,
     pub sent_at: UnixTime,
-    /// False once an outcome proved that it took no effect.
+    /// Whether the attempt may have run; `false` once an outcome has proved that it didn't.
     pub may_have_run: bool,
 }
