--- a/crates/lab/src/baselines/mod.rs
+++ b/crates/lab/src/baselines/mod.rs
@@ -200,7 +200,7 @@
         let never_retries = self.kind == BaselineKind::SingleAttempt;
         self.state.fail_exhausted(actions, |message| never_retries && self.backoff.has_failed(message));
         for message in self.send_order() {
-            if self.state.at_call_limit() {
+            if self.state.is_at_call_limit() {
                 break;
             }
             self.try_send(message, truth.as_deref_mut(), actions);
--- a/crates/lab/src/baselines/state.rs
+++ b/crates/lab/src/baselines/state.rs
@@ -315,7 +315,7 @@
     }
 
     /// Returns whether the limit of calls in flight is reached.
-    pub(super) fn at_call_limit(&self) -> bool {
+    pub(super) fn is_at_call_limit(&self) -> bool {
         self.calls_in_flight >= self.settings.max_calls_in_flight
     }
 
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -157,7 +157,7 @@
     /// Passes every fact and every line of the relays' logs to an observer as it occurs.
     pub fn with_observer(mut self, observer: DayObserver<'a>) -> Day<'a> {
         for relay in &mut self.relays {
-            relay.keep_log();
+            relay.enable_log();
         }
         self.observer = Some(observer);
         self
@@ -190,7 +190,7 @@
                 break;
             }
         }
-        self.outcome(end)
+        self.into_outcome(end)
     }
 
     fn set_up(&mut self) {
@@ -292,7 +292,7 @@
         }
     }
 
-    fn outcome(mut self, end: Time) -> DayOutcome {
+    fn into_outcome(mut self, end: Time) -> DayOutcome {
         let checker =
             std::mem::replace(&mut self.checker, InvariantChecker::new(self.world.rule_parameters()));
         let verdict = checker.finish(end);
--- a/crates/lab/src/day/calls.rs
+++ b/crates/lab/src/day/calls.rs
@@ -48,7 +48,7 @@
         call_id: u64,
         addressed: u32,
         messages: Vec<u64>,
-        limit: Time,
+        timeout: Time,
     ) {
         let endpoint = self.current_endpoint(addressed);
         let delay = self.network_delay(relay, endpoint);
@@ -66,7 +66,7 @@
             arrived_at: 0,
         };
         self.calls.insert(call_id, call);
-        self.schedule(self.now + limit.max(1), Event::CallTimeout { call: call_id });
+        self.schedule(self.now + timeout.max(1), Event::CallTimeout { call: call_id });
         match idle_connection {
             None => self.connect(call_id, delay),
             Some(connection) if self.is_stale(connection, call_id, endpoint) => {
--- a/crates/lab/src/day/connections.rs
+++ b/crates/lab/src/day/connections.rs
@@ -76,9 +76,9 @@
             self.fail_call(call_id, Outcome::ConnectFailed, 2 * delay);
             return;
         }
-        if self.connection_table_full(endpoint) {
+        if self.is_connection_table_full(endpoint) {
             self.close_expired_connections(endpoint);
-            if self.connection_table_full(endpoint) {
+            if self.is_connection_table_full(endpoint) {
                 self.fail_call(call_id, Outcome::ConnectFailed, 2 * delay);
                 return;
             }
@@ -86,7 +86,7 @@
         self.record_opened_connection(call_id, endpoint, delay);
     }
 
-    fn connection_table_full(&self, endpoint: u32) -> bool {
+    fn is_connection_table_full(&self, endpoint: u32) -> bool {
         let server = &self.servers[endpoint as usize];
         let limit = self.world.scenario.groups[server.setup.group].max_connections.get();
         server.effects.connection_table_full || server.connections >= limit
--- a/crates/lab/src/host/mod.rs
+++ b/crates/lab/src/host/mod.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    pub(crate) fn keep_log(&mut self) {
+    pub(crate) fn enable_log(&mut self) {
         self.dispatcher.keep_log = true;
     }
 
