--- a/src/state/calls.rs
+++ b/src/state/calls.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A call's number; never used twice.
+/// A call's number; never reused.
 pub(crate) type CallNumber = u64;
 
 /// A call in flight.
@@ -15,22 +15,22 @@
     pub(crate) endpoint: EndpointId,
     pub(crate) attempts_in_flight: u32,
     pub(crate) sent_at: Duration,
-    /// The time-out learnt: behind it the call is overdue.
-    pub(crate) expected_within: Duration,
-    /// Its result has been counted for its route.
-    pub(crate) counted: bool,
+    /// The timeout, after which the call is overdue.
+    pub(crate) overdue_after: Duration,
+    /// Whether its result has been counted for its route.
+    pub(crate) result_counted: bool,
     pub(crate) cancelled: bool,
-    /// It carries as many messages as the route took.
+    /// Whether it carries as many messages as the route allowed.
     pub(crate) filled: bool,
     pub(crate) on_idle_connection: bool,
 }
 
-/// What is known of a call as one of its attempts ends, or as it is overdue.
+/// The state of a call when one of its attempts ends, or when it is overdue.
 pub(crate) struct CallResult {
     pub(crate) number: CallNumber,
     pub(crate) route: RouteId,
     pub(crate) endpoint: EndpointId,
-    /// The call's result has not been counted before.
+    /// Whether the call's result has not been counted before.
     pub(crate) is_first_result: bool,
     pub(crate) is_over: bool,
     pub(crate) filled: bool,
@@ -39,13 +39,13 @@
 
 impl Call {
     pub(crate) fn is_overdue(&self, now: Duration) -> bool {
-        now >= self.sent_at + self.expected_within
+        now >= self.sent_at + self.overdue_after
     }
 
-    /// Counts the call's result, unless it has been counted.
+    /// Marks the call's result as counted and returns it.
     fn result(&mut self, number: CallNumber, endpoint: EndpointId) -> CallResult {
-        let is_first_result = !self.counted;
-        self.counted = true;
+        let is_first_result = !self.result_counted;
+        self.result_counted = true;
         CallResult {
             number,
             route: self.route,
@@ -64,11 +64,11 @@
     pub(crate) endpoint: EndpointId,
     pub(crate) messages_allowed: usize,
     pub(crate) messages: usize,
-    /// Bytes that they take.
+    /// Size of the messages.
     bytes: usize,
-    expected_within: Duration,
-    shortest_left: Duration,
-    longest_left: Duration,
+    overdue_after: Duration,
+    shortest_time_left: Duration,
+    longest_time_left: Duration,
 }
 
 impl CallDraft {
@@ -79,9 +79,9 @@
             messages_allowed,
             messages: 0,
             bytes: 0,
-            expected_within: Duration::ZERO,
-            shortest_left: Duration::MAX,
-            longest_left: Duration::ZERO,
+            overdue_after: Duration::ZERO,
+            shortest_time_left: Duration::MAX,
+            longest_time_left: Duration::ZERO,
         }
     }
 
@@ -89,27 +89,27 @@
         self.messages >= self.messages_allowed
     }
 
-    /// The bytes of the call with a message that takes so many.
+    /// Returns the size of the call with another message of this size.
     pub(crate) fn bytes_with(&self, bytes: usize) -> usize {
         self.bytes + bytes
     }
 
-    /// The shortest time left in the call, with a message that has `left`.
-    pub(crate) fn shortest_with(&self, left: Duration) -> Duration {
-        self.shortest_left.min(left)
+    /// Returns the shortest time to a deadline in the call, with another message that has `left`.
+    pub(crate) fn shortest_time_with(&self, left: Duration) -> Duration {
+        self.shortest_time_left.min(left)
     }
 
-    /// The longest time left in the call, with a message that has `left`.
-    pub(crate) fn longest_with(&self, left: Duration) -> Duration {
-        self.longest_left.max(left)
+    /// Returns the longest time to a deadline in the call, with another message that has `left`.
+    pub(crate) fn longest_time_with(&self, left: Duration) -> Duration {
+        self.longest_time_left.max(left)
     }
 
     pub(crate) fn add(&mut self, left: Duration, timeout: Duration, bytes: usize) {
         self.messages += 1;
         self.bytes = self.bytes_with(bytes);
-        self.expected_within = self.expected_within.max(timeout);
-        self.shortest_left = self.shortest_with(left);
-        self.longest_left = self.longest_with(left);
+        self.overdue_after = self.overdue_after.max(timeout);
+        self.shortest_time_left = self.shortest_time_with(left);
+        self.longest_time_left = self.longest_time_with(left);
     }
 
     pub(crate) fn call(&self, route: RouteId, now: Duration, on_idle_connection: bool) -> Call {
@@ -118,7 +118,7 @@
             endpoint: self.endpoint,
             attempts_in_flight: self.messages as u32,
             sent_at: now,
-            expected_within: self.expected_within,
+            overdue_after: self.overdue_after,
             filled: self.is_full(),
             on_idle_connection,
             ..Call::default()
@@ -126,7 +126,7 @@
     }
 }
 
-/// All calls in flight, by number: the oldest first.
+/// All calls in flight by number, the oldest first.
 #[derive(Default)]
 pub(crate) struct Calls {
     by_number: BTreeMap<CallNumber, Call>,
@@ -149,18 +149,19 @@
         self.by_number.values().filter(|call| call.route.destination == destination).count()
     }
 
-    /// True if the result of a call of the route has not been counted yet.
-    pub(crate) fn is_result_due(&self, route: RouteId) -> bool {
-        self.by_number.values().any(|call| call.route == route && !call.counted)
+    /// Returns whether the result of a call of the route has not been counted yet.
+    pub(crate) fn has_pending_result(&self, route: RouteId) -> bool {
+        self.by_number.values().any(|call| call.route == route && !call.result_counted)
     }
 
-    /// Counts those whose result is overdue; the oldest first.
+    /// Counts the results of overdue calls and returns them, the oldest first.
     pub(crate) fn count_overdue(&mut self, now: Duration) -> Vec<CallResult> {
-        let overdue = self.by_number.iter_mut().filter(|(_, call)| !call.counted && call.is_overdue(now));
+        let overdue =
+            self.by_number.iter_mut().filter(|(_, call)| !call.result_counted && call.is_overdue(now));
         overdue.map(|(number, call)| call.result(*number, call.endpoint)).collect()
     }
 
-    /// An attempt of the call ended at `endpoint`; with the last one the call is over.
+    /// Records the end of an attempt of the call at `endpoint`; the call is over with its last attempt.
     pub(crate) fn end_attempt(&mut self, number: CallNumber, endpoint: EndpointId) -> Option<CallResult> {
         let call = self.by_number.get_mut(&number)?;
         call.attempts_in_flight -= 1;
@@ -171,7 +172,7 @@
         Some(result)
     }
 
-    pub(crate) fn not_cancelled(&self) -> usize {
+    pub(crate) fn uncancelled(&self) -> usize {
         self.by_number.values().filter(|call| !call.cancelled).count()
     }
 
--- a/src/state/key_queues.rs
+++ b/src/state/key_queues.rs
@@ -1,30 +1,30 @@
 //! Per-key queues: messages with the same key are delivered in the order in which they were submitted.
 //!
-//! The turn of a key belongs to the message at the head of its queue, until nothing more is sent for that one. Behind an
-//! attempt that may still be running the key rests: no other message has the turn until then.
+//! Only the message at the head of a key's queue may be sent, until it is closed. After an attempt that may still be
+//! running the key has a hold-off, during which no other message of the key may be sent.
 
 use crate::interface::{MessageId, OrderingKey, OrderingState};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// A span in which an attempt of a message may still be running.
-struct Rest {
-    behind: MessageId,
+/// The hold-off of a key while an attempt of a message may still be running.
+struct HoldOff {
+    message: MessageId,
     until: Duration,
 }
 
 #[derive(Default)]
 struct KeyQueue {
     messages: VecDeque<MessageId>,
-    /// One for each message at most: a rest behind one message must not end with the rest behind another.
-    rests: Vec<Rest>,
+    /// At most one per message: the hold-off of one message must not end with that of another.
+    hold_offs: Vec<HoldOff>,
 }
 
 impl KeyQueue {
-    fn rest_behind(&mut self, message: MessageId, until: Duration) {
-        match self.rests.iter_mut().find(|rest| rest.behind == message) {
-            Some(rest) => rest.until = rest.until.max(until),
-            None => self.rests.push(Rest { behind: message, until }),
+    fn add_hold_off(&mut self, message: MessageId, until: Duration) {
+        match self.hold_offs.iter_mut().find(|hold_off| hold_off.message == message) {
+            Some(hold_off) => hold_off.until = hold_off.until.max(until),
+            None => self.hold_offs.push(HoldOff { message, until }),
         }
     }
 
@@ -33,16 +33,17 @@
             Some(first) if *first != message => return OrderingState::QueuedBehind(*first),
             _ => {}
         }
-        // Another attempt of the same message need not wait: its turn goes on.
-        let of_others = self.rests.iter().filter(|rest| rest.behind != message && rest.until > now);
-        match of_others.max_by_key(|rest| rest.until) {
-            Some(rest) => OrderingState::HeldOff(rest.behind, rest.until),
+        // A message does not wait for its own earlier attempt.
+        let others =
+            self.hold_offs.iter().filter(|hold_off| hold_off.message != message && hold_off.until > now);
+        match others.max_by_key(|hold_off| hold_off.until) {
+            Some(hold_off) => OrderingState::HeldOff(hold_off.message, hold_off.until),
             None => OrderingState::Next,
         }
     }
 }
 
-/// The queues of all keys. Messages without a key are in none and always next.
+/// The queues of all keys. Messages without a key are in no queue and always next.
 #[derive(Default)]
 pub(crate) struct KeyQueues {
     queues: BTreeMap<OrderingKey, KeyQueue>,
@@ -59,26 +60,27 @@
         }
     }
 
-    /// An attempt of `by` may still be running: until then it is the turn of no other message of the key.
-    pub(crate) fn hold_off(&mut self, key: Option<OrderingKey>, until: Duration, by: MessageId) {
+    /// Adds a hold-off of the key for all messages but `by`, whose attempt may still be running.
+    pub(crate) fn add_hold_off(&mut self, key: Option<OrderingKey>, until: Duration, by: MessageId) {
         if let Some(queue) = key.and_then(|key| self.queues.get_mut(&key)) {
-            queue.rest_behind(by, until);
+            queue.add_hold_off(by, until);
         }
     }
 
-    /// Until when an attempt of `by` holds off the rest of the key; none if it does not.
-    pub(crate) fn held_off_until(
+    /// Returns the end of the key's hold-off for an attempt of `by`; none if there is none.
+    pub(crate) fn hold_off_end(
         &self,
         key: Option<OrderingKey>,
         by: MessageId,
         now: Duration,
     ) -> Option<Duration> {
         let queue = self.queues.get(&key?)?;
-        let rest = queue.rests.iter().find(|rest| rest.behind == by && rest.until > now)?;
-        Some(rest.until)
+        let hold_off =
+            queue.hold_offs.iter().find(|hold_off| hold_off.message == by && hold_off.until > now)?;
+        Some(hold_off.until)
     }
 
-    /// Whether it is the message's turn, and what it waits for if not.
+    /// Returns the message's position in the order of its key.
     pub(crate) fn ordering_state(
         &self,
         key: Option<OrderingKey>,
@@ -91,15 +93,15 @@
         }
     }
 
-    /// How many messages wait for the key; 1 for a message without one.
+    /// Returns the number of messages in the key's queue; 1 for a message without a key.
     pub(crate) fn length(&self, key: Option<OrderingKey>) -> usize {
         key.and_then(|key| self.queues.get(&key)).map_or(1, |queue| queue.messages.len())
     }
 
     pub(crate) fn discard_unused(&mut self, now: Duration) {
         self.queues.retain(|_, queue| {
-            queue.rests.retain(|rest| rest.until > now);
-            !queue.messages.is_empty() || !queue.rests.is_empty()
+            queue.hold_offs.retain(|hold_off| hold_off.until > now);
+            !queue.messages.is_empty() || !queue.hold_offs.is_empty()
         });
     }
 }
