--- a/crates/relay/tests/handover/successor.rs
+++ b/crates/relay/tests/handover/successor.rs
@@ -1,4 +1,4 @@
-//! Messages that a successor accepts, and their fate if the successor exits.
+//! Messages accepted by a successor, including one that exits before it takes over.
 
 use crate::support::{client::*, *};
 use crate::under_load::TIME_TO_DEADLINE;
--- a/crates/relay/tests/races.rs
+++ b/crates/relay/tests/races.rs
@@ -290,14 +290,14 @@
     let (old, new) = (Server::start(|_| ok()), Server::start(|_| ok()));
     let (e1, e2) = (member("e1", old.address, 7, "single"), member("e2", new.address, 7, "single"));
     let gate = Gate::default();
-    let (passed, both) = (gate.clone(), json!({"revision": 9, "complete": true, "members": [e1, e2]}));
+    let (passed, list) = (gate.clone(), json!({"revision": 9, "complete": true, "members": [e1, e2]}));
     // The first list request gets a complete response at once; the watch that follows is held until the change is done.
     let list_requests = AtomicUsize::new(0);
     let old_discovery = Server::start(move |r| {
         if r.path.starts_with("/catalog") && list_requests.fetch_add(1, Ordering::SeqCst) > 0 {
             passed.pass();
         }
-        respond(200, "", &both.to_string())
+        respond(200, "", &list.to_string())
     });
     let mut fixture = fixture(0, vec![e2]);
     fixture.config["discovery"] = json!(old_discovery.address.to_string());
