--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,9 +1,10 @@
-//! The laboratory in virtual time. A scenario becomes a [`day::Day`]: clients, relays, destinations and their
-//! troubles as events on a heap, from one seed, the same trace on every machine. Each relay hosts a
-//! [`policy::Policy`]: the project's decisions, or one of the baselines beside them, behind the same
-//! `mountshift::interface::Actions`. The invariant checker reads every fact; statistics tell what service came of it.
+//! Simulation of a relay fleet in virtual time. A scenario is simulated as a [`day::Day`]: the actions of clients,
+//! relays and destinations and the scripted faults are events on a heap. All random values derive from one seed, so
+//! that the trace is the same on every machine. Each relay runs a [`policy::Policy`], which is either the project's
+//! decisions or a baseline, behind the same `mountshift::interface::Actions`. The invariant checker reads every
+//! fact; statistics measure the resulting service.
 //!
-//! What the model leaves out, and how to add to it, stands in `docs/lab.md`.
+//! `docs/lab.md` describes the limits of the model and how to extend it.
 #![forbid(unsafe_code)]
 
 mod baselines;
@@ -26,5 +27,5 @@
 
 pub use mountshift_invariants::Fact;
 
-/// Microseconds since the day began.
+/// Microseconds since the start of the simulated day.
 pub type Time = u64;
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -1,35 +1,35 @@
-//! What decides at a modelled relay: one interface for the project's decisions and for the baselines.
+//! Interface of the policy that decides at a simulated relay: the project's decisions or a baseline.
 
 use mountshift::interface::*;
 use mountshift::policy::DeliveryPolicy;
 use std::time::Duration;
 
-/// The true state of the model, for the one policy that is shown it.
+/// True state of the model, passed only to the omniscient policy.
 #[derive(Clone, Debug, Default)]
 pub struct GroundTruth {
-    /// By endpoint, from 0.
+    /// True state of each endpoint, by endpoint number.
     pub endpoints: Vec<EndpointTruth>,
-    /// By route, from 0: calls that its rate limit and its slow start let through now. The policy subtracts what
-    /// it sends, so that the next relay sees the rest.
+    /// Number of calls that the rate limits and the slow start of each route admit now, by route number. The policy
+    /// subtracts the calls that it sends, so that the next relay sees the remainder.
     pub route_allowances: Vec<f64>,
 }
 
-/// The true state of an endpoint.
+/// True state of an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointTruth {
-    /// It would accept and answer a call.
+    /// Whether it would accept a call and respond to it.
     pub available: bool,
-    /// Its route, by position in [`GroundTruth::route_allowances`].
+    /// Route of the endpoint, as an index into [`GroundTruth::route_allowances`].
     pub route: u32,
-    /// Calls that it can work on now, and one that may wait. The policy subtracts what it sends.
+    /// Number of calls that it can process now, plus one that may wait. The policy subtracts the calls that it sends.
     pub spare_capacity: f64,
-    /// Idle connections to it may have died.
+    /// Whether idle connections to it may be broken.
     pub has_stale_connections: bool,
 }
 
-/// Decides for one relay, one call a step.
+/// Delivery policy of one relay.
 pub trait Policy: Send {
-    /// Takes in what came since the last step, leaves `inputs` empty, and decides.
+    /// Processes the inputs since the last step, leaves `inputs` empty, and performs its decisions through `actions`.
     fn step(
         &mut self,
         now: Duration,
--- a/crates/lab/src/policy_kind.rs
+++ b/crates/lab/src/policy_kind.rs
@@ -1,4 +1,4 @@
-//! The policies that a day can be played with, by name, and how each is built.
+//! Names and construction of the policies that a simulated day can run with.
 
 use crate::baselines::{Baseline, BaselineKind};
 use crate::policy::Policy;
@@ -6,35 +6,34 @@
 use mountshift::policy::DeliveryPolicy;
 use serde::{Deserialize, Serialize};
 
-/// The policies that a day can be played with. Their serialized names stand in stored results and on the command
-/// line.
+/// Policy of the relays of a simulated day. The serialized names are used in stored results and on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PolicyKind {
     /// The project's decisions.
     #[serde(rename = "mountshift")]
     Mountshift,
-    /// One attempt for each message, in the order of arrival: the floor of all comparisons.
+    /// One attempt for each message, in the order of arrival: the lower reference of comparisons.
     #[serde(rename = "one-try")]
     SingleAttempt,
     /// Retries after an exponential backoff with jitter.
     #[serde(rename = "backoff")]
     Backoff,
-    /// The same, with retries limited to a tenth of the first attempts.
+    /// Backoff with retries limited to a tenth of the first attempts.
     #[serde(rename = "retry-budget")]
     RetryBudget,
-    /// Backoff and a circuit breaker for each destination.
+    /// Backoff with a circuit breaker for each destination.
     #[serde(rename = "plain-breaker")]
     CircuitBreaker,
-    /// Backoff, and always the endpoint with the fewest calls in flight.
+    /// Backoff that always selects the endpoint with the fewest calls in flight.
     #[serde(rename = "least-out")]
     LeastInFlight,
-    /// Sees the true state of the model: the top of all comparisons.
+    /// Access to the true state of the model: the upper reference of comparisons.
     #[serde(rename = "sees-all")]
     Omniscient,
 }
 
 impl PolicyKind {
-    /// All of them, in the order of reports.
+    /// All policies, in the order of reports.
     pub const ALL: [PolicyKind; 7] = [
         PolicyKind::Mountshift,
         PolicyKind::SingleAttempt,
@@ -45,7 +44,7 @@
         PolicyKind::Omniscient,
     ];
 
-    /// The name in results and on the command line.
+    /// Returns the name used in results and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             PolicyKind::Mountshift => "mountshift",
@@ -58,12 +57,12 @@
         }
     }
 
-    /// True if it is shown the true state of the model: its relays then play one after another.
+    /// Returns whether the policy sees the true state of the model. Its relays then run one after another.
     pub fn is_omniscient(self) -> bool {
         self == PolicyKind::Omniscient
     }
 
-    /// A policy for a relay that starts.
+    /// Creates the policy of a starting relay.
     pub fn build(self, settings: PolicySettings) -> Box<dyn Policy> {
         let baseline = match self {
             PolicyKind::Mountshift => return Box::new(DeliveryPolicy::new(settings)),
--- a/crates/lab/src/random.rs
+++ b/crates/lab/src/random.rs
@@ -1,5 +1,6 @@
-//! Everything random in a day, from one seed. Streams for what is drawn ahead; single draws by name for what happens,
-//! so that two policies on the same seed meet the same world however differently they act in it.
+//! Random values of a simulated day, all derived from one seed. Values drawn in advance come from streams. Values
+//! for single events are hashes of the event's ids, so that two policies with the same seed meet the same conditions
+//! however differently they act.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -7,8 +8,8 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// What a draw is for; each purpose gives draws of its own. The numbers are hashed, so that changing one changes all
-/// days: 2 and 17 stood for purposes that are gone.
+/// Purpose of a draw; the values of different purposes are independent. The numbers are hashed: changing one changes
+/// every simulated day. 2 and 17 belonged to purposes that no longer exist.
 #[derive(Clone, Copy, Debug)]
 #[repr(u64)]
 pub(crate) enum Purpose {
@@ -31,7 +32,7 @@
     Search = 19,
 }
 
-/// A source of random values; equal seeds give equal values on every machine.
+/// Source of random values; equal seeds give equal values on every machine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SeededRandom(pub(crate) u64);
 
@@ -43,28 +44,28 @@
         hasher.finish()
     }
 
-    /// An independent generator.
+    /// Returns an independent generator for a purpose.
     pub(crate) fn stream(self, purpose: Purpose, a: u64) -> ChaCha8Rng {
         ChaCha8Rng::seed_from_u64(self.hash(purpose, a, 0))
     }
 
-    /// A number, evenly from 0 up to 1.
+    /// Draws a number uniformly from 0 (included) to 1 (excluded).
     pub(crate) fn uniform(self, purpose: Purpose, a: u64, b: u64) -> f64 {
         (self.hash(purpose, a, b) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A seed for somebody else's random source.
+    /// Derives a seed for another random source.
     pub(crate) fn derive_seed(self, purpose: Purpose, a: u64, b: u64) -> u64 {
         self.hash(purpose, a, b)
     }
 
-    /// A log-normal factor with the median 1 and this spread of its logarithm.
+    /// Draws a log-normal factor with median 1; `spread` is the standard deviation of its logarithm.
     pub(crate) fn log_normal(self, purpose: Purpose, spread: f64, a: u64, b: u64) -> f64 {
         let mut stream = ChaCha8Rng::seed_from_u64(self.hash(purpose, a, b));
         LogNormal::new(0.0, spread).map_or(1.0, |distribution| distribution.sample(&mut stream))
     }
 
-    /// An index below `count`.
+    /// Draws an index below `count`.
     pub(crate) fn index(self, purpose: Purpose, count: usize, a: u64, b: u64) -> usize {
         ChaCha8Rng::seed_from_u64(self.hash(purpose, a, b)).random_range(0..count.max(1))
     }
--- a/crates/lab/src/rate_limit.rs
+++ b/crates/lab/src/rate_limit.rs
@@ -1,20 +1,20 @@
-//! Limits on the rate of calls, as destinations enforce them.
+//! Rate limits that destinations enforce on calls.
 
 use crate::Time;
 use mountshift_scenario::{Limit, LimitBy};
 
-/// The span for which unused rate is saved up, in seconds.
+/// Time for which a token bucket accumulates unused rate, in seconds.
 const BURST_SECONDS: f64 = 0.1;
-/// What a rejected call costs where rejected calls count too, in calls.
+/// Number of tokens that a rejected call costs where rejected calls count against the limit.
 const REJECTED_CALL_COST: f64 = 0.5;
-/// The part of a window that calls rejected in the window before can use up at most.
+/// Maximum share of a window that the rejected calls of the previous window can use up.
 const MAX_SHARE_USED_BY_REJECTED: f64 = 0.5;
 
-/// A limit at work: a token bucket, or a count in fixed windows.
+/// State of a rate limit, which is a token bucket or a count in fixed windows.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimit {
     pub(crate) limit: Limit,
-    /// The trouble that set it.
+    /// Index of the fault that imposes the limit; `None` for a permanent limit.
     pub(crate) set_by: Option<usize>,
     tokens: f64,
     refilled_at: Time,
@@ -24,12 +24,12 @@
 }
 
 impl RateLimit {
-    /// A limit that begins now with one call to spare.
+    /// Creates a limit that starts now with one token.
     pub(crate) fn new(limit: Limit, set_by: Option<usize>, now: Time) -> RateLimit {
         RateLimit { limit, set_by, tokens: 1.0, refilled_at: now, window: 0, calls: 0.0, rejected: 0.0 }
     }
 
-    /// Calls that would pass now.
+    /// Returns the number of calls that would be admitted now.
     pub(crate) fn calls_allowed(&mut self, now: Time) -> f64 {
         match self.limit.by {
             LimitBy::Rate => {
@@ -43,10 +43,10 @@
         }
     }
 
-    /// Counts a call.
+    /// Counts a call against the limit.
     ///
     /// # Errors
-    /// The span until a call may pass, if this one may not.
+    /// Returns the time until a call may be admitted if this one is rejected.
     pub(crate) fn admit(&mut self, now: Time) -> Result<(), Time> {
         match self.limit.by {
             LimitBy::Rate => self.admit_by_rate(now),
@@ -90,7 +90,7 @@
         self.limit.window.us().max(1)
     }
 
-    /// Begins a window if one is due; gives the calls that a window takes.
+    /// Starts a new window if one is due, and returns the number of calls that a window admits.
     fn enter_window(&mut self, now: Time) -> f64 {
         let span = self.window_span();
         let window = now / span + 1;
--- a/crates/lab/src/route.rs
+++ b/crates/lab/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: endpoints that share one limit, one capacity and one outage.
+//! Routes: endpoints that share limits, a capacity and outages.
 
 use crate::Time;
 use crate::rate_limit::RateLimit;
@@ -7,32 +7,32 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The shortest truthful Retry-After.
+/// Minimum of an exact Retry-After.
 const MIN_RETRY_AFTER: Time = 1_000;
-/// A wrong Retry-After lies between this share of the true one and [`WRONG_RETRY_AFTER_SPREAD`] more.
+/// Minimum of a wrong Retry-After, as a share of the exact one.
 const WRONG_RETRY_AFTER_MIN: f64 = 0.1;
-/// How far wrong Retry-Afters spread, as a share of the true one.
+/// Difference between the longest and the shortest wrong Retry-After, as a share of the exact one.
 const WRONG_RETRY_AFTER_SPREAD: f64 = 3.9;
-/// The window of limits that troubles bring and that count calls.
-const TROUBLE_LIMIT_WINDOW: Duration = Duration::from_secs(1);
+/// Window of the limits that faults impose and that count calls.
+const FAULT_LIMIT_WINDOW: Duration = Duration::from_secs(1);
 
-/// A call that arrived lately.
+/// Call that arrived during slow start, within the overload window.
 struct RecentCall {
     at: Time,
     weight: f64,
 }
 
-/// Endpoints that share one limit, one capacity and one outage.
+/// Endpoints that share limits, a capacity and outages.
 pub(crate) struct Route {
     pub(crate) endpoints: Vec<u32>,
-    /// Calls a second while warm.
+    /// Calls per second outside slow start.
     pub(crate) capacity: f64,
-    /// No endpoint in service serves.
+    /// Whether it has endpoints in service and all of them are out.
     pub(crate) in_outage: bool,
     pub(crate) outage_since: Time,
-    /// When an outage ended after which the route has to warm up.
+    /// End of the outage that started the current slow start.
     pub(crate) slow_start_since: Option<Time>,
-    /// Overloaded during slow start: down until the day ends.
+    /// Whether it was overloaded during slow start, which takes it down until the day ends.
     pub(crate) overloaded: bool,
     recent_calls: VecDeque<RecentCall>,
     recent_weight: f64,
@@ -40,7 +40,7 @@
 }
 
 impl Route {
-    /// A route of a group's destination, without endpoints yet.
+    /// Creates a route of a group's destination, without endpoints.
     pub(crate) fn new(world: &World, group: usize) -> Route {
         let limit = world.scenario.groups[group].limit.map(|limit| RateLimit::new(limit, None, 0));
         Route {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The share of its capacity that it has now.
+    /// Returns the share of its capacity that is available now.
     pub(crate) fn capacity_share(&self, now: Time, world: &World) -> f64 {
         let Some(since) = self.slow_start_since else { return 1.0 };
         let rules = &world.scenario.rules;
@@ -64,7 +64,7 @@
         rules.slow_start_share.0 + (1.0 - rules.slow_start_share.0) * warmed_up
     }
 
-    /// Counts a call that has arrived; true if it overloads the route.
+    /// Records an arrived call and returns whether it overloads the route.
     pub(crate) fn record_call(&mut self, now: Time, weight: f64, world: &World) -> bool {
         let Some(since) = self.slow_start_since else { return false };
         if now >= since + world.scenario.rules.slow_start_duration.us() {
@@ -73,7 +73,7 @@
         }
         self.recent_calls.push_back(RecentCall { at: now, weight });
         self.recent_weight += weight;
-        // A little slack for random arrivals, as the checker of the rules allows it.
+        // The invariant checker allows the same slack for random arrivals.
         let limit = self.overload_limit(now, world);
         self.recent_weight(now, world) > limit + mountshift_invariants::overload_slack(limit)
     }
@@ -84,7 +84,7 @@
         self.recent_weight = 0.0;
     }
 
-    /// Calls that its limits and what it bears during slow start let through now.
+    /// Returns the number of calls that its limits and its slow start admit now.
     pub(crate) fn calls_allowed(&mut self, now: Time, world: &World) -> f64 {
         let by_limits = self.limits.iter_mut().map(|limit| limit.calls_allowed(now));
         let by_limits = by_limits.fold(f64::INFINITY, f64::min);
@@ -94,7 +94,7 @@
         by_limits.min(self.overload_limit(now, world) - self.recent_weight(now, world))
     }
 
-    /// The weight of calls within the overload window that it bears.
+    /// Returns the maximum weight of calls within the overload window that does not overload it.
     fn overload_limit(&self, now: Time, world: &World) -> f64 {
         let rules = &world.scenario.rules;
         rules.overload_multiple.0
@@ -103,7 +103,7 @@
             * rules.overload_window.seconds()
     }
 
-    /// The weight of calls that arrived within the overload window.
+    /// Returns the weight of the calls that arrived within the overload window.
     fn recent_weight(&mut self, now: Time, world: &World) -> f64 {
         let window = world.scenario.rules.overload_window.us();
         while let Some(oldest) = self.recent_calls.front().filter(|call| call.at + window < now) {
@@ -113,11 +113,11 @@
         self.recent_weight
     }
 
-    /// Counts a call against all limits; `lie` draws a wrong Retry-After where limits lie.
+    /// Counts a call against all limits. `drawn`, from 0 to 1, selects the Retry-After where a limit gives wrong ones.
     ///
     /// # Errors
-    /// The Retry-After that the caller hears, 0 for none, if a limit rejects the call.
-    pub(crate) fn admit(&mut self, now: Time, lie: f64) -> Result<(), Time> {
+    /// Returns the Retry-After of the response, 0 for none, if a limit rejects the call.
+    pub(crate) fn admit(&mut self, now: Time, drawn: f64) -> Result<(), Time> {
         let mut longest: Option<Time> = None;
         for limit in &mut self.limits {
             if let Err(wait) = limit.admit(now) {
@@ -125,7 +125,7 @@
                     RetryAfterAccuracy::Exact => wait.max(MIN_RETRY_AFTER),
                     RetryAfterAccuracy::Missing => 0,
                     RetryAfterAccuracy::Wrong => {
-                        (wait as f64 * (WRONG_RETRY_AFTER_MIN + WRONG_RETRY_AFTER_SPREAD * lie)) as Time
+                        (wait as f64 * (WRONG_RETRY_AFTER_MIN + WRONG_RETRY_AFTER_SPREAD * drawn)) as Time
                     }
                 };
                 longest = longest.max(Some(retry_after));
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Lifts the limit that a trouble brings, and sets it anew where the trouble begins.
+    /// Adds the limit that a fault imposes when the fault begins, and removes it when the fault ends.
     pub(crate) fn change_fault_limit(
         &mut self,
         fault_id: usize,
@@ -150,15 +150,15 @@
         if !begins {
             return;
         }
-        if let Some(limit) = limit_of(fault.kind, Rate(rate * fault.level)) {
+        if let Some(limit) = fault_limit(fault.kind, Rate(rate * fault.level)) {
             self.limits.push(RateLimit::new(limit, Some(fault_id), now));
         }
     }
 }
 
-/// The limit that a kind of trouble brings.
-fn limit_of(kind: ScriptedFaultKind, rate: Rate) -> Option<Limit> {
-    let window = Span(TROUBLE_LIMIT_WINDOW);
+/// Returns the limit that a kind of fault imposes.
+fn fault_limit(kind: ScriptedFaultKind, rate: Rate) -> Option<Limit> {
+    let window = Span(FAULT_LIMIT_WINDOW);
     let by_count = Limit {
         by: LimitBy::Count,
         rate,
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -1,40 +1,40 @@
-//! Endpoints at work: their workers, queues and connections, and what troubles make of them.
+//! State of endpoints: workers, queues, connections and the effects of active faults.
 
 use crate::Time;
 use crate::world::{EndpointSetup, ResolvedFault, World};
 use mountshift_scenario::ScriptedFaultKind;
 use std::collections::VecDeque;
 
-/// From this rate of errors on an endpoint counts as out.
+/// Error rate at which an endpoint counts as in outage.
 const OUTAGE_ERROR_RATE: f64 = 0.5;
 
-/// Messages of a class that take longer, now and then.
+/// Heavy tail of processing times: some messages of a class take longer by a factor.
 #[derive(Clone, Debug)]
 pub(crate) struct HeavyTail {
     pub(crate) class: u16,
     pub(crate) factor: f64,
 }
 
-/// What the troubles of now make of an endpoint.
+/// Combined effects of the active faults on an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct FaultEffects {
-    /// Connections are refused, and what was open breaks.
+    /// Whether it refuses connections; its open connections have been reset.
     pub(crate) refuses: bool,
-    /// It is off the network without a word.
+    /// Whether it is off the network without having closed its connections.
     pub(crate) vanished: bool,
-    /// Until when no byte passes; 0 if bytes pass.
+    /// Time until which no bytes pass; 0 if bytes pass.
     pub(crate) silent_until: Time,
-    /// Until when it stands still; 0 if it works.
+    /// Time until which it does no work; 0 if it works.
     pub(crate) frozen_until: Time,
-    /// It stands still for so long that it counts as out.
+    /// Whether it is frozen by a hang, which counts as an outage; a pause does not.
     pub(crate) hung: bool,
-    /// It rejects every call.
+    /// Whether it rejects every call.
     pub(crate) rejects_all: bool,
     pub(crate) error_rate: f64,
     pub(crate) reset_rate: f64,
-    /// The share of kept connections that have died unnoticed.
+    /// Share of idle connections that are broken without their relay having noticed.
     pub(crate) stale_rate: f64,
-    /// The factor by which work takes longer.
+    /// Factor by which work takes longer.
     pub(crate) slowdown: f64,
     pub(crate) heavy_tails: Vec<HeavyTail>,
     pub(crate) connection_table_full: bool,
@@ -60,7 +60,7 @@
 }
 
 impl FaultEffects {
-    /// The joint effects of the active troubles, given by their numbers.
+    /// Combines the effects of the active faults, given by index.
     pub(crate) fn new(active: &[usize], faults: &[ResolvedFault]) -> FaultEffects {
         let mut effects = FaultEffects::default();
         for fault in active {
@@ -71,7 +71,7 @@
 
     fn add(&mut self, fault: &ResolvedFault) {
         match fault.kind {
-            ScriptedFaultKind::Errors => self.error_rate = either(self.error_rate, fault.level),
+            ScriptedFaultKind::Errors => self.error_rate = combine_rates(self.error_rate, fault.level),
             ScriptedFaultKind::Shut => self.rejects_all = true,
             ScriptedFaultKind::Refuse | ScriptedFaultKind::Crash => self.refuses = true,
             ScriptedFaultKind::Hang => {
@@ -85,14 +85,14 @@
             ScriptedFaultKind::HeavyTail => {
                 self.heavy_tails.push(HeavyTail { class: fault.class, factor: fault.level });
             }
-            ScriptedFaultKind::Resets => self.reset_rate = either(self.reset_rate, fault.level),
-            ScriptedFaultKind::Stale => self.stale_rate = either(self.stale_rate, fault.level),
+            ScriptedFaultKind::Resets => self.reset_rate = combine_rates(self.reset_rate, fault.level),
+            ScriptedFaultKind::Stale => self.stale_rate = combine_rates(self.stale_rate, fault.level),
             ScriptedFaultKind::TablesFull => self.connection_table_full = true,
             _ => {}
         }
     }
 
-    /// Down, silent, hung, rejecting all calls, or failing most of them.
+    /// Returns whether it is down, silent, hung, rejecting all calls or failing most of them.
     pub(crate) fn is_out(&self) -> bool {
         self.refuses
             || self.vanished
@@ -103,36 +103,36 @@
     }
 }
 
-/// The probability that at least one of two independent events happens.
-fn either(a: f64, b: f64) -> f64 {
+/// Returns the probability that at least one of two independent events happens.
+fn combine_rates(a: f64, b: f64) -> f64 {
     1.0 - (1.0 - a) * (1.0 - b)
 }
 
-/// An endpoint at work.
+/// State of an endpoint.
 pub(crate) struct Server {
     pub(crate) setup: EndpointSetup,
     pub(crate) workers: u32,
     pub(crate) busy: u32,
-    /// Calls that wait for a worker.
+    /// Ids of the calls that wait for a worker.
     pub(crate) queue: VecDeque<u64>,
-    /// Calls that are worked on.
+    /// Ids of the calls that are being processed.
     pub(crate) running: Vec<u64>,
     pub(crate) connections: u32,
-    /// Grows each time its connections break.
+    /// Number of times that its connections were broken.
     pub(crate) epoch: u32,
-    /// It was taken out of service for good.
+    /// Whether it was permanently taken out of service.
     pub(crate) removed: bool,
-    /// Another one that took its address over.
+    /// Endpoint that took over its address.
     pub(crate) successor: Option<u32>,
     pub(crate) active_faults: Vec<usize>,
     pub(crate) effects: FaultEffects,
 }
 
 impl Server {
-    /// An endpoint with as many workers as its part of its route's capacity needs.
+    /// Creates an endpoint with as many workers as its share of the route's capacity requires.
     pub(crate) fn new(world: &World, setup: EndpointSetup, endpoints_of_route: u32) -> Server {
         let group = &world.scenario.groups[setup.group];
-        // The mean of what is drawn around the median.
+        // Mean of the log-normal distribution whose median is the response time.
         let mean_service_time = group.response_time.seconds()
             * (group.response_time_spread.0 * group.response_time_spread.0 / 2.0).exp();
         let capacity = world.capacity(setup.group) / f64::from(endpoints_of_route.max(1));
--- a/crates/lab/src/traffic.rs
+++ b/crates/lab/src/traffic.rs
@@ -1,4 +1,4 @@
-//! What clients want delivered over the day, drawn ahead: no arrival waits for an answer.
+//! Requests of clients over a simulated day, generated in advance: arrivals do not depend on responses.
 
 use crate::Time;
 use crate::random::Purpose;
@@ -9,23 +9,23 @@
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Exp, Poisson};
 
-/// The span over which the requests of a clump spread, in seconds.
-const CLUMP_SPAN: f64 = 1.0;
-/// The mean size of a clump where the scenario names none.
-const DEFAULT_CLUMP_SIZE: f64 = 8.0;
+/// Time over which the requests of a burst are spread, in seconds.
+const BURST_DURATION: f64 = 1.0;
+/// Mean size of a burst if the scenario does not specify one.
+const DEFAULT_BURST_SIZE: f64 = 8.0;
 
-/// Something that a client wants delivered.
+/// Notification that a client wants delivered; it can be submitted several times, each time as another message.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Request {
     pub(crate) at: Time,
     pub(crate) class: u16,
     pub(crate) tenant: u32,
     pub(crate) destination: u32,
-    /// The ordering key; 0 for none.
+    /// Ordering key; 0 for none.
     pub(crate) key: u64,
 }
 
-/// A choice by weight; always the first where the weights can't be used.
+/// Choice by weight; always the first option if the weights are invalid.
 struct WeightedChoice(Option<WeightedAliasIndex<f64>>);
 
 impl WeightedChoice {
@@ -38,7 +38,7 @@
     }
 }
 
-/// All requests of the day, by their times.
+/// Generates the requests of the day in the order of their times, or takes them from a recording.
 pub(crate) fn draw(world: &World) -> Vec<Request> {
     let scenario = world.scenario;
     if scenario.traffic.replay.is_some() {
@@ -60,17 +60,17 @@
     }
 }
 
-/// Draws requests in one stream; the order of the draws is part of each day.
+/// Generator of requests from one random stream. The order of the draws determines every simulated day.
 struct Generator<'w> {
     world: &'w World<'w>,
     rng: ChaCha8Rng,
     classes: WeightedChoice,
     tenants: WeightedChoice,
     groups: WeightedChoice,
-    /// By group: its destinations.
+    /// Choice of a destination within each group.
     destinations: Vec<WeightedChoice>,
-    /// The mean size of a clump; 1 where requests arrive singly.
-    clump_size: f64,
+    /// Mean size of a burst; 1 where requests arrive singly.
+    mean_burst_size: f64,
 }
 
 impl<'w> Generator<'w> {
@@ -86,9 +86,9 @@
             tenants: WeightedChoice::new(scenario.tenants.iter().map(|tenant| tenant.traffic.0).collect()),
             groups: WeightedChoice::new(scenario.groups.iter().map(|group| group.traffic.0).collect()),
             destinations: destinations.collect(),
-            clump_size: match scenario.traffic.arrivals {
+            mean_burst_size: match scenario.traffic.arrivals {
                 Arrivals::Bursts => {
-                    scenario.traffic.burst_size.map_or(DEFAULT_CLUMP_SIZE, |size| size.0.max(1.0))
+                    scenario.traffic.burst_size.map_or(DEFAULT_BURST_SIZE, |size| size.0.max(1.0))
                 }
                 _ => 1.0,
             },
@@ -107,30 +107,31 @@
             let group = self.groups.draw(&mut self.rng);
             let number = self.destinations[group].draw(&mut self.rng) as u32;
             let destination = self.world.destination(group, number);
-            let size = self.draw_clump_size();
+            let size = self.draw_burst_size();
             for _ in 0..size {
-                let delay = if size > 1 { self.rng.random_range(0.0..CLUMP_SPAN) } else { 0.0 };
+                let delay = if size > 1 { self.rng.random_range(0.0..BURST_DURATION) } else { 0.0 };
                 let request = self.draw_request(destination, (at + delay).min(length));
                 requests.push(request);
             }
         }
     }
 
-    /// The gap to the next arrival or clump, at the rate of now, in seconds.
+    /// Draws the time to the next arrival or burst at the current rate, in seconds.
     fn draw_gap(&mut self, at: f64) -> f64 {
         let traffic = &self.world.scenario.traffic;
-        let rate = traffic.rate.0 * rush_factor(self.world.scenario, at) / self.clump_size;
+        let rate = traffic.rate.0 * peak_multiplier(self.world.scenario, at) / self.mean_burst_size;
         match traffic.arrivals {
             Arrivals::Even => 1.0 / rate,
-            _ => Exp::new(rate).map_or(1.0 / rate, |gaps| gaps.sample(&mut self.rng)),
+            _ => Exp::new(rate).map_or(1.0 / rate, |distribution| distribution.sample(&mut self.rng)),
         }
     }
 
-    fn draw_clump_size(&mut self) -> usize {
-        if self.clump_size <= 1.0 {
+    fn draw_burst_size(&mut self) -> usize {
+        if self.mean_burst_size <= 1.0 {
             return 1;
         }
-        Poisson::new(self.clump_size - 1.0).map_or(1, |further| 1 + further.sample(&mut self.rng) as usize)
+        Poisson::new(self.mean_burst_size - 1.0)
+            .map_or(1, |distribution| 1 + distribution.sample(&mut self.rng) as usize)
     }
 
     fn draw_request(&mut self, destination: u32, at_seconds: f64) -> Request {
@@ -144,14 +145,14 @@
     }
 }
 
-/// The factor by which rushes raise the rate of arrivals at a time in seconds.
-fn rush_factor(scenario: &Scenario, at: f64) -> f64 {
+/// Returns the factor by which traffic peaks multiply the arrival rate at a time in seconds.
+fn peak_multiplier(scenario: &Scenario, at: f64) -> f64 {
     let peaks = scenario.traffic.peaks.iter().map(std::convert::AsRef::as_ref);
     let active = peaks.filter(|peak| (peak.from.seconds()..peak.to.seconds()).contains(&at));
     active.map(|peak| peak.multiplier.0).product()
 }
 
-/// An ordering key of a destination, never 0.
+/// Returns an ordering key of a destination, which is never 0.
 fn ordering_key(destination: u32, number: u64) -> u64 {
     (u64::from(destination) + 1) << 24 | (number + 1)
 }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -1,5 +1,5 @@
-//! A scenario drawn out: destinations, endpoints and routes by number, when which trouble strikes whom, and what
-//! relays are told at their start.
+//! Resolved scenario: numbered destinations, endpoints and routes, the times and targets of faults, and the settings
+//! of relays.
 
 use crate::Time;
 use crate::random::{Purpose, SeededRandom};
@@ -9,20 +9,20 @@
 use mountshift_scenario::{FaultTarget, Scenario, ScriptedFaultKind};
 use std::time::Duration;
 
-/// Where the list tells rates roughly, it is off by a factor between this and 1.5.
-const ROUGH_RATE_MIN: f64 = 0.5;
-/// Where the list tells no rates, it says this.
-const UNTOLD_RATE: f64 = 1.0;
-/// The most attempts that a relay's settings can express.
+/// Minimum ratio of an approximate listed rate to the true rate; the maximum is 1.5.
+const MIN_APPROXIMATE_RATE_FACTOR: f64 = 0.5;
+/// Listed rate of endpoints whose true rate is not published.
+const UNKNOWN_RATE: f64 = 1.0;
+/// Maximum number of attempts that a relay's settings can express.
 const MAX_ATTEMPTS: u32 = 255;
 
-/// A destination of the world.
+/// Destination with its group and its endpoints, by number.
 pub(crate) struct Destination {
     pub(crate) group: usize,
     pub(crate) endpoints: Vec<u32>,
 }
 
-/// An endpoint as it is set up.
+/// Configuration of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointSetup {
     pub(crate) destination: u32,
@@ -31,14 +31,14 @@
     pub(crate) route: u32,
 }
 
-/// A trouble with its times and whom it strikes.
+/// Fault with its times and targets.
 #[derive(Clone, Debug)]
 pub(crate) struct ResolvedFault {
     pub(crate) kind: ScriptedFaultKind,
     pub(crate) begins: Time,
     pub(crate) ends: Time,
     pub(crate) level: f64,
-    /// The message class that it strikes, where it strikes one.
+    /// Message class that it affects, for kinds of faults that affect one.
     pub(crate) class: u16,
     pub(crate) endpoints: Vec<u32>,
     pub(crate) relays: Vec<u32>,
@@ -50,14 +50,14 @@
     }
 }
 
-/// Whom a trouble strikes, in ascending order.
+/// Targets of a fault, in ascending order.
 #[derive(Default)]
 struct Targets {
     endpoints: Vec<u32>,
     relays: Vec<u32>,
 }
 
-/// A scenario with its destinations, endpoints and routes numbered, and its troubles drawn.
+/// Scenario with numbered destinations, endpoints and routes, and with its faults resolved.
 pub(crate) struct World<'a> {
     pub(crate) scenario: &'a Scenario,
     pub(crate) random: SeededRandom,
@@ -65,12 +65,12 @@
     pub(crate) endpoints: Vec<EndpointSetup>,
     pub(crate) faults: Vec<ResolvedFault>,
     route_count: u32,
-    /// By group: the number of its first destination.
+    /// Number of the first destination of each group.
     first_destination: Vec<u32>,
 }
 
 impl<'a> World<'a> {
-    /// Draws a scenario out; equal seeds give equal worlds.
+    /// Resolves a scenario; equal seeds give equal worlds.
     pub(crate) fn new(scenario: &'a Scenario, seed: u64) -> World<'a> {
         let mut world = World {
             scenario,
@@ -93,7 +93,7 @@
         world
     }
 
-    /// Adds a destination, on one route or on one for each endpoint where endpoints have limits of their own.
+    /// Adds a destination on one route, or on one route per endpoint if its endpoints are independent.
     fn add_destination(&mut self, group_id: usize, group: &scenario::Group) {
         let destination = self.destinations.len() as u32;
         if !group.independent_endpoints {
@@ -112,59 +112,59 @@
         self.destinations.push(Destination { group: group_id, endpoints });
     }
 
-    /// The number of a group's destination.
+    /// Returns the number of a destination, given its group and its position in it.
     pub(crate) fn destination(&self, group: usize, number: u32) -> u32 {
         self.first_destination[group] + number
     }
 
-    /// The number of a group by its name.
+    /// Returns the number of the group with a name.
     pub(crate) fn group(&self, name: &str) -> usize {
         self.scenario.groups.iter().position(|g| g.name.as_ref() == name).unwrap_or_default()
     }
 
-    /// What a destination is called in scenario files.
+    /// Returns the name of a destination in the notation of scenario files.
     pub(crate) fn name(&self, destination: u32) -> String {
         let group = self.destinations[destination as usize].group;
         let number = destination - self.first_destination[group];
         format!("{}/{}", self.scenario.groups[group].name.as_ref(), number)
     }
 
-    /// Calls a second that a route works off while warm.
+    /// Returns the number of calls per second that a route of a group can process outside slow start.
     pub(crate) fn capacity(&self, group: usize) -> f64 {
         let group = &self.scenario.groups[group];
         group.rate.0 * group.headroom.0
     }
 
-    /// What the list tells of a destination's rate.
+    /// Returns the rate that the endpoint list gives for an endpoint.
     pub(crate) fn listed_rate(&self, endpoint: &EndpointSetup) -> f64 {
         let rate = self.scenario.groups[endpoint.group].rate.0;
         match self.scenario.relays.listed_rate {
             scenario::ListedRate::Exact => rate,
             scenario::ListedRate::Approximate => {
                 let drawn = self.random.uniform(Purpose::EndpointList, u64::from(endpoint.route), 0);
-                rate * (ROUGH_RATE_MIN + drawn)
+                rate * (MIN_APPROXIMATE_RATE_FACTOR + drawn)
             }
-            scenario::ListedRate::Unknown => UNTOLD_RATE,
+            scenario::ListedRate::Unknown => UNKNOWN_RATE,
         }
     }
 
-    /// The zone that a relay stands in.
+    /// Returns the zone of a relay.
     pub(crate) fn relay_zone(&self, relay: u32) -> u8 {
         (relay as usize % self.scenario.zones.len()) as u8
     }
 
-    /// Whom the names in a trouble's script mean.
-    fn targets(&self, who: &[String]) -> Targets {
+    /// Resolves the target names of a scripted fault.
+    fn targets(&self, names: &[String]) -> Targets {
         let mut targets = Targets::default();
-        for whom in who.iter().filter_map(|text| FaultTarget::parse(text).ok()) {
-            match whom {
+        for target in names.iter().filter_map(|name| FaultTarget::parse(name).ok()) {
+            match target {
                 FaultTarget::All => targets.endpoints.extend(0..self.endpoints.len() as u32),
                 FaultTarget::Relays => targets.relays.extend(0..self.scenario.relays.count.get()),
                 FaultTarget::Relay(relay) => targets.relays.push(relay),
                 FaultTarget::Group(name, number, endpoint) => {
                     let group = self.group(&name);
-                    let all = 0..self.scenario.groups[group].count.get();
-                    for number in all.filter(|n| number.is_none_or(|only| only == *n)) {
+                    let numbers = 0..self.scenario.groups[group].count.get();
+                    for number in numbers.filter(|n| number.is_none_or(|only| only == *n)) {
                         let destination = self.destination(group, number);
                         targets.endpoints.extend(self.endpoints_of(destination, endpoint));
                     }
@@ -178,7 +178,7 @@
         targets
     }
 
-    /// The endpoints of a destination, or the one at a place in its list.
+    /// Returns the endpoints of a destination, or only the one at the index `only`.
     fn endpoints_of(&self, destination: u32, only: Option<u32>) -> Vec<u32> {
         let endpoints = &self.destinations[destination as usize].endpoints;
         match only {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Draws whom a trouble strikes, and splits it where it comes again and again.
+    /// Draws the targets of a fault, and splits a repeated fault into its occurrences.
     fn schedule_fault(&mut self, number: u64, script: &scenario::ScriptedFault) {
         let whole = self.draw_fault(number, script);
         let (Some(every), Some(lasts)) = (script.repeat_interval, script.occurrence_duration) else {
@@ -199,7 +199,7 @@
             let ends = (begins + lasts.us()).min(whole.ends);
             let mut part = ResolvedFault { begins, ends, ..whole.clone() };
             if script.kind == ScriptedFaultKind::Waves {
-                // One relay after another.
+                // Each occurrence affects the next relay.
                 let Some(relay) = whole.relays.get(index).copied() else { break };
                 part.relays = vec![relay];
             }
@@ -210,14 +210,14 @@
     fn draw_fault(&self, number: u64, script: &scenario::ScriptedFault) -> ResolvedFault {
         let mut targets = self.targets(&script.targets);
         if let Some(share) = script.share {
-            let struck =
+            let is_affected =
                 |id: u32| self.random.uniform(Purpose::FaultTargets, number, u64::from(id)) < share.0;
             targets.endpoints.retain(|endpoint| {
-                // Each endpoint for itself, or all those of a destination together.
+                // Endpoints are affected individually or together with all endpoints of their destination.
                 let destination = self.endpoints[*endpoint as usize].destination;
-                struck(if script.per_endpoint { *endpoint } else { destination })
+                is_affected(if script.per_endpoint { *endpoint } else { destination })
             });
-            targets.relays.retain(|relay| struck(*relay));
+            targets.relays.retain(|relay| is_affected(*relay));
         }
         if script.kind == ScriptedFaultKind::Cut {
             targets.endpoints = self.targets(&script.cut_from).endpoints;
@@ -236,7 +236,7 @@
         }
     }
 
-    /// The settings of a relay at its start; each start has a seed of its own.
+    /// Returns the settings of a starting relay; each start has its own seed.
     pub(crate) fn policy_settings(&self, relay: u32, start: u64) -> PolicySettings {
         let scenario = self.scenario;
         let relays = &scenario.relays;
@@ -276,9 +276,10 @@
         }
     }
 
-    /// The rules' parameters for the invariant checker, read from the scenario and not from what relays are told.
+    /// Returns the parameters of the rules for the invariant checker, from the scenario and not from the settings of
+    /// relays.
     pub(crate) fn rule_parameters(&self) -> invariants::RuleParameters {
-        let s = self.scenario;
+        let scenario = self.scenario;
         let class = |class: &scenario::MessageClass| invariants::MessageClass {
             idempotency: match class.idempotency {
                 scenario::Idempotency::Idempotent => invariants::Idempotency::Idempotent,
@@ -291,15 +292,15 @@
             in_order: class.in_order,
         };
         invariants::RuleParameters {
-            classes: s.classes.iter().map(class).collect(),
+            classes: scenario.classes.iter().map(class).collect(),
             answer_slack: 300_000,
             restart_slack: 1_500_000,
-            drain_grace: s.rules.drain_grace.us(),
-            order_hold_off: s.rules.order_hold_off.us(),
-            slow_start_share: s.rules.slow_start_share.0,
-            slow_start_duration: s.rules.slow_start_duration.us(),
-            overload_multiple: s.rules.overload_multiple.0,
-            overload_window: s.rules.overload_window.us(),
+            drain_grace: scenario.rules.drain_grace.us(),
+            order_hold_off: scenario.rules.order_hold_off.us(),
+            slow_start_share: scenario.rules.slow_start_share.0,
+            slow_start_duration: scenario.rules.slow_start_duration.us(),
+            overload_multiple: scenario.rules.overload_multiple.0,
+            overload_window: scenario.rules.overload_window.us(),
             retry_after_grace: 0,
         }
     }
@@ -339,7 +340,8 @@
     }
 }
 
-/// True if an idempotency key is known to the endpoints of one zone only, else to all of a destination.
+/// Returns whether idempotency keys are shared by the endpoints of one zone rather than by all endpoints of a
+/// destination.
 pub(crate) fn deduplicates_per_zone(class: &scenario::MessageClass) -> bool {
     class.deduplication_scope.as_ref().is_some_and(|g| *g.as_ref() == scenario::DeduplicationScope::SameZone)
 }
