--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,43 +1,43 @@
-//! What can go wrong in an experiment, apart from the days themselves.
+//! Errors of experiments and reports.
 
 use mountshift_scenario::ScenarioError;
 use std::error::Error;
 
-/// Why an experiment or its report could not be made. Its message is one line.
+/// Error of an experiment or a report. Its message is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
-    /// A report needs at least one day.
-    #[error("there are no days")]
+    /// A report was requested without any simulated day.
+    #[error("no days to report on")]
     NoDays,
-    /// A comparison needs days of the same scenario and seed on both sides.
-    #[error("no scenario and seed was played on both sides")]
-    NothingToPair,
-    /// A chart or the page could not be drawn.
-    #[error("the report can't be drawn: {0}")]
+    /// The two sides of a comparison have no scenario and seed in common.
+    #[error("the two sides have no scenario and seed in common")]
+    NoCommonDays,
+    /// A chart or the page of a report could not be rendered.
+    #[error("can't render the report: {0}")]
     Report(#[source] Box<dyn Error + Send + Sync>),
-    /// The text of a scenario is no TOML.
-    #[error("{shown}: {}", .source.message())]
+    /// The text of a scenario is not valid TOML.
+    #[error("{file}: {}", .source.message())]
     Syntax {
-        /// The scenario's file as it is shown.
-        shown: String,
-        /// Where and why.
+        /// Scenario file as the user named it.
+        file: String,
+        /// Error of the TOML parser.
         #[source]
         source: toml::de::Error,
     },
-    /// A path that is to be changed leads nowhere.
-    #[error("{shown}: there is no {path}: nothing at {step:?}")]
+    /// The path of a value to change does not exist in the scenario.
+    #[error("{file}: no value at {path}: {step:?} does not exist")]
     NoSuchValue {
-        /// The scenario's file as it is shown.
-        shown: String,
-        /// The whole path.
+        /// Scenario file as the user named it.
+        file: String,
+        /// Complete path.
         path: String,
-        /// The step of the path that failed.
+        /// First step of the path that does not exist.
         step: String,
     },
-    /// A changed scenario can't be written down.
+    /// A changed scenario can't be written as TOML.
     #[error(transparent)]
-    Unwritable(#[from] toml::ser::Error),
-    /// A changed scenario is refused.
+    Serialize(#[from] toml::ser::Error),
+    /// A changed scenario is invalid.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,6 +1,6 @@
-//! Days played many times over: summaries with intervals, paired comparisons that say when two things can't be
-//! told apart, and sweeps of one value. Serialized names are part of the output format and differ from the fields'
-//! where those follow newer terms.
+//! Experiments over many simulated days: summaries with confidence intervals, paired comparisons that state when a
+//! difference is not significant, and changes of one value of a scenario. Serialized names are part of the output
+//! format; some fields have other names in the code.
 
 use crate::day::{Day, DayOptions};
 use crate::error::LabError;
@@ -13,51 +13,51 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Resamples of a bootstrap.
+/// Number of resamples of a bootstrap.
 const RESAMPLES: usize = 4_000;
-/// The share of resamples inside the interval.
+/// Share of resamples inside the interval.
 const CONFIDENCE: f64 = 0.95;
-/// With fewer pairs than this no difference is claimed.
+/// Minimum number of pairs from which a difference is claimed.
 const MIN_PAIRS: usize = 5;
-/// The least distance between floor and top at which a policy's place between them means something.
+/// Minimum difference between the services of the reference policies for a meaningful relative service.
 const MIN_SERVICE_RANGE: f64 = 0.02;
 
-/// Plays a scenario with every policy on every seed, on all cores; `done` hears of each day that is over. The
-/// course of the day is kept for the first seed where `keep_timeline` is set.
+/// Simulates a scenario with every policy on every seed, on all cores, and calls `on_day_finished` after each day.
+/// If `keep_timeline` is set, the timeline is kept for the first seed.
 pub fn run(
     scenario: &Scenario,
     policies: &[PolicyKind],
     seeds: &[u64],
     keep_timeline: bool,
-    done: &(dyn Fn(&DayOutcome) + Sync),
+    on_day_finished: &(dyn Fn(&DayOutcome) + Sync),
 ) -> Vec<DayOutcome> {
-    let days = policies.iter().flat_map(|which| seeds.iter().map(|seed| (*which, *seed)));
+    let days = policies.iter().flat_map(|policy| seeds.iter().map(|seed| (*policy, *seed)));
     let days: Vec<(PolicyKind, u64)> = days.collect();
-    let play = |(which, seed): (PolicyKind, u64)| {
-        let is_kept = keep_timeline && Some(&seed) == seeds.first();
-        let outcome = Day::new(scenario, DayOptions { policy: which, seed, keep_timeline: is_kept }).run();
-        done(&outcome);
+    let simulate = |(policy, seed): (PolicyKind, u64)| {
+        let keeps_timeline = keep_timeline && Some(&seed) == seeds.first();
+        let outcome = Day::new(scenario, DayOptions { policy, seed, keep_timeline: keeps_timeline }).run();
+        on_day_finished(&outcome);
         outcome
     };
-    days.into_par_iter().map(play).collect()
+    days.into_par_iter().map(simulate).collect()
 }
 
-/// A mean and where it lies with 95% by bootstrap over seeds.
+/// Mean with its 95% confidence interval, by bootstrap.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Estimate {
-    /// The mean of the values.
+    /// Mean of the values.
     pub mean: f64,
-    /// The lower end of the interval.
+    /// Lower end of the interval.
     pub low: f64,
-    /// The upper end of the interval.
+    /// Upper end of the interval.
     pub high: f64,
-    /// The number of values.
+    /// Number of values.
     pub n: usize,
 }
 
 impl Estimate {
-    /// Resamples with a random source of its own, the same each time. The interval is widened by the bootstrap's
-    /// known shortfall for few values.
+    /// Estimates the mean of `values`. The random source is seeded with their number, so that equal values give equal
+    /// results. The interval is widened because a bootstrap over few values underestimates the spread.
     pub fn of(values: &[f64]) -> Estimate {
         let n = values.len();
         if n == 0 {
@@ -88,55 +88,56 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// One policy over all seeds.
+/// Results of one policy over all seeds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Summary {
-    /// The policy's name.
+    /// Name of the policy.
     pub policy: String,
     /// Worth delivered over worth submitted.
     pub service: Estimate,
-    /// The same over the worst ten seconds of each day.
+    /// Service in the worst ten seconds of each day.
     pub worst_window: Estimate,
-    /// Where its service lies between the floor (0) and the top (1); none if the two lie too close to tell.
+    /// Service relative to the single-attempt policy (0) and the omniscient policy (1); `None` if their services are
+    /// too close or one of them was not simulated.
     #[serde(rename = "place")]
     pub relative_service: Option<f64>,
-    /// The mean of attempts for each message.
+    /// Mean number of attempts per message.
     #[serde(rename = "legs_per_message")]
     pub attempts_per_message: f64,
-    /// The mean of calls that reached an endpoint while its route was out.
+    /// Mean number of calls per day that reached an endpoint while its route was out.
     pub calls_into_outages: f64,
-    /// The mean of routes that were overloaded during slow start.
+    /// Mean number of routes per day that were overloaded during slow start.
     #[serde(rename = "fell_over")]
     pub overloaded_routes: f64,
-    /// The mean of requests that took effect under more than one message id.
+    /// Mean number of requests per day that took effect under more than one message id.
     #[serde(rename = "twins")]
     pub duplicates: f64,
-    /// Days on which each rule was broken.
+    /// Number of days on which each rule was broken, rule 1 first.
     #[serde(rename = "days_broken")]
     pub days_with_breaches: [usize; 6],
-    /// The service of each message class.
+    /// Service of each message class.
     #[serde(rename = "lanes")]
     pub classes: BTreeMap<String, Estimate>,
 }
 
-/// The services of the policy that tries once and of the one that sees the true state of all.
+/// Services of the two reference policies.
 #[derive(Clone, Copy)]
 struct ServiceRange {
-    floor: f64,
-    top: f64,
+    single_attempt: f64,
+    omniscient: f64,
 }
 
 impl ServiceRange {
-    fn place(self, service: f64) -> Option<f64> {
-        if self.top - self.floor > MIN_SERVICE_RANGE {
-            Some((service - self.floor) / (self.top - self.floor))
+    fn relative_service(self, service: f64) -> Option<f64> {
+        if self.omniscient - self.single_attempt > MIN_SERVICE_RANGE {
+            Some((service - self.single_attempt) / (self.omniscient - self.single_attempt))
         } else {
             None
         }
     }
 }
 
-/// Sums each policy's days up, in the order of [`PolicyKind::ALL`].
+/// Summarises the days of each policy, in the order of [`PolicyKind::ALL`].
 pub fn summarise(days: &[DayOutcome]) -> Vec<Summary> {
     let mut by_policy: BTreeMap<&str, Vec<&DayOutcome>> = BTreeMap::new();
     for day in days {
@@ -144,14 +145,18 @@
     }
     let range = service_range(&by_policy);
     let mut policies: Vec<&str> = by_policy.keys().copied().collect();
-    policies.sort_by_key(|name| PolicyKind::ALL.iter().position(|which| which.name() == *name));
+    policies.sort_by_key(|name| PolicyKind::ALL.iter().position(|policy| policy.name() == *name));
     policies.into_iter().map(|name| summary(name, &by_policy[name], range)).collect()
 }
 
-/// Floor and top, where both were played.
+/// Returns the services of the reference policies if both were simulated.
 fn service_range(by_policy: &BTreeMap<&str, Vec<&DayOutcome>>) -> Option<ServiceRange> {
-    let service = |which: PolicyKind| Some(mean_of(&values(by_policy.get(which.name())?, |day| day.service)));
-    Some(ServiceRange { floor: service(PolicyKind::SingleAttempt)?, top: service(PolicyKind::Omniscient)? })
+    let service =
+        |policy: PolicyKind| Some(mean_of(&values(by_policy.get(policy.name())?, |day| day.service)));
+    Some(ServiceRange {
+        single_attempt: service(PolicyKind::SingleAttempt)?,
+        omniscient: service(PolicyKind::Omniscient)?,
+    })
 }
 
 fn values(days: &[&DayOutcome], value: impl Fn(&DayOutcome) -> f64) -> Vec<f64> {
@@ -165,7 +170,7 @@
     let classes = days[0].classes.iter().enumerate();
     Summary {
         policy: name.to_string(),
-        relative_service: range.and_then(|range| range.place(service.mean)),
+        relative_service: range.and_then(|range| range.relative_service(service.mean)),
         service,
         worst_window: estimate(&|day| day.worst_window),
         attempts_per_message: mean(&|day| day.attempts as f64 / (day.messages as f64).max(1.0)),
@@ -181,41 +186,41 @@
     }
 }
 
-/// Two sets of days side by side, paired by scenario and seed.
+/// Comparison of two sets of days, paired by scenario and seed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Comparison {
-    /// The service of side A.
+    /// Service of side A.
     pub a: Estimate,
-    /// The service of side B.
+    /// Service of side B.
     pub b: Estimate,
-    /// B less A, pair by pair.
+    /// Mean of B minus A over the pairs.
     pub difference: Estimate,
-    /// The same for the worst window.
+    /// Mean difference in the worst window over the pairs.
     pub worst_window: Estimate,
-    /// What may be concluded, in words.
+    /// Conclusion in words.
     #[serde(rename = "says")]
     pub conclusion: String,
-    /// By message class: the difference.
+    /// Mean difference of each message class.
     #[serde(rename = "lanes")]
     pub classes: BTreeMap<String, Estimate>,
-    /// Days with a broken rule, of A and of B.
+    /// Number of days with a broken rule, of A and of B.
     #[serde(rename = "days_broken")]
     pub days_with_breaches: (usize, usize),
 }
 
-/// Two days of the same scenario and seed.
+/// Days of the two sides with the same scenario and seed.
 struct Pair<'d> {
     a: &'d DayOutcome,
     b: &'d DayOutcome,
 }
 
-/// Compares days that were played on the same scenarios and seeds.
+/// Compares days that were simulated with the same scenarios and seeds.
 ///
 /// # Errors
-/// If no two days can be paired.
+/// If the two sides have no scenario and seed in common.
 pub fn compare(a: &[DayOutcome], b: &[DayOutcome]) -> Result<Comparison, LabError> {
     let pairs = pair_up(a, b);
-    let Some(first) = pairs.first() else { return Err(LabError::NothingToPair) };
+    let Some(first) = pairs.first() else { return Err(LabError::NoCommonDays) };
     let differences = |value: &dyn Fn(&DayOutcome) -> f64| {
         let differences: Vec<f64> = pairs.iter().map(|pair| value(pair.b) - value(pair.a)).collect();
         Estimate::of(&differences)
@@ -233,7 +238,7 @@
         worst_window: differences(&|day| day.worst_window),
         conclusion: conclusion(&difference),
         classes: classes.collect(),
-        days_with_breaches: (count_broken(&days_a), count_broken(&days_b)),
+        days_with_breaches: (count_days_with_breaches(&days_a), count_days_with_breaches(&days_b)),
         difference,
     })
 }
@@ -249,7 +254,7 @@
     class.map_or(f64::NAN, |class| class.service)
 }
 
-fn count_broken(days: &[&DayOutcome]) -> usize {
+fn count_days_with_breaches(days: &[&DayOutcome]) -> usize {
     days.iter().filter(|day| !day.has_no_breaches()).count()
 }
 
@@ -265,42 +270,42 @@
     }
 }
 
-/// The scenario with one value changed: `path` as in `traffic.rate` or `trouble.0.level`, `value` as it would
-/// stand in the file.
+/// Parses a scenario and changes one value. `path` names the value, as in `traffic.rate` or `trouble.0.level`; `value`
+/// is written as in the file; errors name the scenario as `file`.
 ///
 /// # Errors
-/// If there is no such place, or the changed scenario is refused; one line.
-pub fn with_value(text: &str, shown: &str, path: &str, value: &str) -> Result<Scenario, LabError> {
-    let syntax = |source| LabError::Syntax { shown: shown.to_string(), source };
+/// If the path does not exist or the changed scenario is invalid. The message is one line.
+pub fn with_value(text: &str, file: &str, path: &str, value: &str) -> Result<Scenario, LabError> {
+    let syntax = |source| LabError::Syntax { file: file.to_string(), source };
     let mut whole: toml::Value = toml::from_str(text).map_err(syntax)?;
     let no_such_value = |step: &str| LabError::NoSuchValue {
-        shown: shown.to_string(),
+        file: file.to_string(),
         path: path.to_string(),
         step: step.to_string(),
     };
-    let place = value_at(&mut whole, path).map_err(no_such_value)?;
-    *place = parse_value(value);
+    let target = value_at(&mut whole, path).map_err(no_such_value)?;
+    *target = parse_value(value);
     let changed = toml::to_string(&whole)?;
-    Scenario::from_text(&changed, &format!("{shown} with {path} = {value}")).map_err(LabError::Scenario)
+    Scenario::from_text(&changed, &format!("{file} with {path} = {value}")).map_err(LabError::Scenario)
 }
 
-/// A value as it would stand in a file; what is no TOML is a string.
+/// Parses a value as written in a file; text that is not valid TOML becomes a string.
 fn parse_value(value: &str) -> toml::Value {
     let parsed = toml::from_str::<BTreeMap<String, toml::Value>>(&format!("v = {value}"));
     let value_alone = parsed.ok().and_then(|mut table| table.remove("v"));
     value_alone.unwrap_or_else(|| toml::Value::String(value.to_string()))
 }
 
-/// The value at a path, created where only its last step is missing from a table.
+/// Finds the value at a path. If only the last step is missing from a table, the value is created.
 ///
 /// # Errors
-/// The step of the path that leads nowhere.
+/// Returns the first step of the path that does not exist.
 fn value_at<'v, 'p>(whole: &'v mut toml::Value, path: &'p str) -> Result<&'v mut toml::Value, &'p str> {
-    let mut place = whole;
+    let mut current = whole;
     let mut steps = path.split('.').peekable();
     while let Some(step) = steps.next() {
         let is_last = steps.peek().is_none();
-        let next = match place {
+        let next = match current {
             toml::Value::Table(table) => {
                 if is_last {
                     table.entry(step).or_insert(toml::Value::Boolean(false));
@@ -310,7 +315,7 @@
             toml::Value::Array(items) => step.parse::<usize>().ok().and_then(|index| items.get_mut(index)),
             _ => None,
         };
-        place = next.ok_or(step)?;
+        current = next.ok_or(step)?;
     }
-    Ok(place)
+    Ok(current)
 }
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,5 +1,5 @@
-//! Searches scripts of troubles for days that break a rule, or lose most against the policy that sees all, and
-//! cuts the found day down to the fewest and shortest troubles that still do it.
+//! Searches random fault scripts for the day that breaks the most rules, or that loses the most service against the
+//! omniscient policy. The faults of the day found are then removed and shortened as far as the result persists.
 
 use crate::day::{Day, DayOptions};
 use crate::policy_kind::PolicyKind;
@@ -13,39 +13,39 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Troubles of a drawn script at most.
-const MAX_TROUBLES: usize = 4;
-/// A reduced day must keep this share of the loss.
+/// Maximum number of faults in a drawn script.
+const MAX_FAULTS: usize = 4;
+/// Share of the original loss that a reduced day must keep.
 const MIN_LOSS_KEPT: f64 = 0.8;
-/// A trouble is not cut shorter than this.
-const MIN_TROUBLE_LENGTH: Duration = Duration::from_millis(500);
-/// The rank of a broken rule, far above that of any loss.
-const BROKEN_RULE_RANK: f64 = 1e3;
-/// The rank of a loss where rules are looked at: it only orders days that break the same number.
-const LOSS_RANK: f64 = 1e-3;
+/// Minimum duration to which a fault is shortened.
+const MIN_FAULT_DURATION: Duration = Duration::from_millis(500);
+/// Weight of a breach in the rank of a day, far above that of any loss.
+const BREACH_WEIGHT: f64 = 1e3;
+/// Weight of the loss in a search for breaches: it only orders days with the same number of breaches.
+const LOSS_WEIGHT: f64 = 1e-3;
 
-/// What is looked for.
+/// Goal of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearchGoal {
-    /// Days that lose most against the top.
+    /// The day that loses the most service against the omniscient policy.
     Loss,
-    /// Days that break a rule, whichever.
+    /// The day with the most breaches of any rules.
     Rules,
 }
 
-/// How bad a day is: rules broken count for more than any loss.
+/// Severity of a day. Breaches count for more than any loss.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DaySeverity {
-    /// How often rules were broken.
+    /// Number of breaches of all rules.
     pub breach_count: u64,
-    /// The service of the project's decisions.
+    /// Service of the project's decisions.
     pub service: f64,
-    /// The service of the policy that sees all.
+    /// Service of the omniscient policy; 1 in a search for breaches.
     pub omniscient_service: f64,
 }
 
 impl DaySeverity {
-    /// Service lost against the top.
+    /// Returns the service lost against the omniscient policy.
     pub fn loss(&self) -> f64 {
         self.omniscient_service - self.service
     }
@@ -53,54 +53,56 @@
     fn rank(&self, goal: SearchGoal) -> f64 {
         match goal {
             SearchGoal::Loss => self.loss(),
-            SearchGoal::Rules => self.breach_count as f64 * BROKEN_RULE_RANK + self.loss() * LOSS_RANK,
+            SearchGoal::Rules => self.breach_count as f64 * BREACH_WEIGHT + self.loss() * LOSS_WEIGHT,
         }
     }
 
-    fn is_as_bad_as(&self, first: &DaySeverity, goal: SearchGoal) -> bool {
+    /// Returns whether the day still shows what was found in the `original` day.
+    fn reproduces(&self, original: &DaySeverity, goal: SearchGoal) -> bool {
         match goal {
-            SearchGoal::Loss => self.loss() >= MIN_LOSS_KEPT * first.loss(),
+            SearchGoal::Loss => self.loss() >= MIN_LOSS_KEPT * original.loss(),
             SearchGoal::Rules => self.breach_count > 0,
         }
     }
 }
 
-/// A day that was found.
+/// Worst day found by a search, after its reduction.
 #[derive(Clone, Debug)]
 pub struct SearchResult {
-    /// The scenario with the troubles that are left.
+    /// Scenario with the remaining faults.
     pub scenario: Scenario,
-    /// The seed of the day.
+    /// Seed of the day.
     pub seed: u64,
-    /// How bad it is.
+    /// Severity of the day.
     pub severity: DaySeverity,
-    /// The number of scripts that were tried.
+    /// Number of scripts that were tried.
     pub scripts_tried: usize,
-    /// Troubles before and after it was cut down.
+    /// Number of faults before and after the reduction.
     pub fault_counts: (usize, usize),
 }
 
-/// A script of troubles that was played.
+/// Fault script with the severity of its simulated day.
 struct Candidate {
     faults: Vec<ScriptedFault>,
     seed: u64,
     severity: DaySeverity,
 }
 
-/// Tries `budget` scripts on the world of `base`, in parallel, and cuts the worst down. None if nothing bad
-/// was met.
+/// Tries `budget` fault scripts on the scenario `base`, in parallel, and reduces the worst day. Calls
+/// `on_script_tried` after each script. Returns `None` if no script was tried, or if the goal is breaches and there
+/// were none.
 pub fn hunt(
     base: &Scenario,
     goal: SearchGoal,
     budget: usize,
     seed: u64,
-    done: &(dyn Fn() + Sync),
+    on_script_tried: &(dyn Fn() + Sync),
 ) -> Option<SearchResult> {
     let numbers = (0..budget as u64).into_par_iter();
     let candidates: Vec<Candidate> = numbers
         .map(|number| {
             let candidate = try_script(base, goal, seed, number);
-            done();
+            on_script_tried();
             candidate
         })
         .collect();
@@ -110,7 +112,7 @@
         return None;
     }
     let before = worst.faults.len();
-    let reduced = Reduction { base, goal, first: worst.severity, current: worst }.reduce();
+    let reduced = Reduction { base, goal, original: worst.severity, current: worst }.reduce();
     Some(SearchResult {
         scenario: with_faults(base, &reduced.faults),
         seed: reduced.seed,
@@ -122,21 +124,22 @@
 
 fn try_script(base: &Scenario, goal: SearchGoal, seed: u64, number: u64) -> Candidate {
     let mut rng = SeededRandom(seed).stream(Purpose::Search, number);
-    let count = rng.random_range(1..=MAX_TROUBLES);
+    let count = rng.random_range(1..=MAX_FAULTS);
     let faults: Vec<ScriptedFault> = (0..count).map(|_| draw_fault(base, &mut rng)).collect();
     let seed = u64::from(rng.random::<u32>());
-    let severity = play(&with_faults(base, &faults), seed, goal);
+    let severity = measure_severity(&with_faults(base, &faults), seed, goal);
     Candidate { faults, seed, severity }
 }
 
-fn play(scenario: &Scenario, seed: u64, goal: SearchGoal) -> DaySeverity {
-    let day = |which| Day::new(scenario, DayOptions { policy: which, seed, keep_timeline: false }).run();
-    let ours = day(PolicyKind::Mountshift);
-    let top = if goal == SearchGoal::Loss { day(PolicyKind::Omniscient).service } else { 1.0 };
+/// Simulates a day with the project's decisions, and with the omniscient policy if the goal is the loss.
+fn measure_severity(scenario: &Scenario, seed: u64, goal: SearchGoal) -> DaySeverity {
+    let day = |policy| Day::new(scenario, DayOptions { policy, seed, keep_timeline: false }).run();
+    let mountshift = day(PolicyKind::Mountshift);
+    let omniscient_service = if goal == SearchGoal::Loss { day(PolicyKind::Omniscient).service } else { 1.0 };
     DaySeverity {
-        breach_count: ours.breach_counts.iter().sum(),
-        service: ours.service,
-        omniscient_service: top,
+        breach_count: mountshift.breach_counts.iter().sum(),
+        service: mountshift.service,
+        omniscient_service,
     }
 }
 
@@ -149,28 +152,28 @@
     Span(Duration::from_millis((seconds * 1e3) as u64))
 }
 
-/// Draws a trouble. The order of the draws decides which scripts a seed tries.
+/// Draws a fault. The order of the draws determines which scripts a seed tries.
 fn draw_fault(base: &Scenario, rng: &mut ChaCha8Rng) -> ScriptedFault {
     let length = base.length.as_ref().seconds();
     let kind = ScriptedFaultKind::ALL[rng.random_range(0..ScriptedFaultKind::ALL.len())];
     let from = rng.random_range(0.05..0.8) * length;
-    let lasts = rng.random_range(0.05..0.5) * length;
+    let duration = rng.random_range(0.05..0.5) * length;
     let required = kind.required_fields();
     let target = draw_targets(base, kind, rng);
-    let every = rng.random_range(1.5..4.0);
+    let repeat_seconds = rng.random_range(1.5..4.0);
     let level = draw_level(kind, rng);
     let has_level = required.level_fraction || required.level;
     ScriptedFault {
         kind,
         from: span(from),
-        to: span(from + lasts),
+        to: span(from + duration),
         targets: vec![target],
         share: if rng.random_bool(0.4) { Some(Share(rng.random_range(0.2..0.9))) } else { None },
         per_endpoint: rng.random_bool(0.3),
         level: if has_level { Some(Amount((level * 100.0_f64).round() / 100.0)) } else { None },
-        repeat_interval: if required.repetition { Some(span(every)) } else { None },
+        repeat_interval: if required.repetition { Some(span(repeat_seconds)) } else { None },
         occurrence_duration: if required.repetition {
-            Some(span(every * rng.random_range(0.1..0.6)))
+            Some(span(repeat_seconds * rng.random_range(0.1..0.6)))
         } else {
             None
         },
@@ -192,18 +195,18 @@
     }
 }
 
-/// Relays, or endpoints by group, as scenario files name them.
+/// Draws the targets of a fault, in the notation of scenario files.
 fn draw_targets(base: &Scenario, kind: ScriptedFaultKind, rng: &mut ChaCha8Rng) -> String {
-    let strikes_relays = kind.target_kind_and_description().0 == TargetKind::Relays;
+    let targets_relays = kind.target_kind_and_description().0 == TargetKind::Relays;
     match rng.random_range(0..3) {
-        0 if strikes_relays => format!("relay/{}", rng.random_range(0..base.relays.count.get())),
-        _ if strikes_relays => "relays".to_string(),
+        0 if targets_relays => format!("relay/{}", rng.random_range(0..base.relays.count.get())),
+        _ if targets_relays => "relays".to_string(),
         0 => "*".to_string(),
         _ => draw_group(base, rng),
     }
 }
 
-/// A group, or now and then one destination of it.
+/// Draws a group, or one destination of it, in the notation of scenario files.
 fn draw_group(base: &Scenario, rng: &mut ChaCha8Rng) -> String {
     let group: &Group = &base.groups[rng.random_range(0..base.groups.len())];
     match rng.random_range(0..3) {
@@ -216,19 +219,19 @@
     base.classes[rng.random_range(0..base.classes.len())].name.clone()
 }
 
-/// The end of a trouble that is cut off.
+/// Half of a fault's duration that is removed.
 #[derive(Clone, Copy)]
-enum CutAt {
-    End,
-    Beginning,
+enum RemovedHalf {
+    Second,
+    First,
 }
 
-/// Cuts a candidate down, as long as the day stays bad.
+/// Removes and shortens the faults of a candidate as long as the day reproduces the original result.
 struct Reduction<'s> {
     base: &'s Scenario,
     goal: SearchGoal,
-    /// How bad the day was as it was found.
-    first: DaySeverity,
+    /// Severity of the day before the reduction.
+    original: DaySeverity,
     current: Candidate,
 }
 
@@ -236,8 +239,8 @@
     fn reduce(mut self) -> Candidate {
         self.remove_faults();
         for index in 0..self.current.faults.len() {
-            self.shorten(index, CutAt::End);
-            self.shorten(index, CutAt::Beginning);
+            self.shorten(index, RemovedHalf::Second);
+            self.shorten(index, RemovedHalf::First);
         }
         self.current
     }
@@ -247,36 +250,36 @@
         while index < self.current.faults.len() && self.current.faults.len() > 1 {
             let mut fewer = self.current.faults.clone();
             fewer.remove(index);
-            if !self.accept_if_bad(fewer) {
+            if !self.accept_if_reproduced(fewer) {
                 index += 1;
             }
         }
     }
 
-    /// Halves a trouble again and again.
-    fn shorten(&mut self, index: usize, cut: CutAt) {
+    /// Halves a fault's duration as often as the result persists.
+    fn shorten(&mut self, index: usize, removed: RemovedHalf) {
         loop {
             let fault = &self.current.faults[index];
             let half = (fault.to.0 - fault.from.0) / 2;
-            if half < MIN_TROUBLE_LENGTH {
+            if half < MIN_FAULT_DURATION {
                 return;
             }
             let middle = Span(fault.from.0 + half);
             let mut shorter = self.current.faults.clone();
-            match cut {
-                CutAt::End => shorter[index].to = middle,
-                CutAt::Beginning => shorter[index].from = middle,
+            match removed {
+                RemovedHalf::Second => shorter[index].to = middle,
+                RemovedHalf::First => shorter[index].from = middle,
             }
-            if !self.accept_if_bad(shorter) {
+            if !self.accept_if_reproduced(shorter) {
                 return;
             }
         }
     }
 
-    /// Plays the day with other troubles and keeps them if it is about as bad; true if it is.
-    fn accept_if_bad(&mut self, faults: Vec<ScriptedFault>) -> bool {
-        let severity = play(&with_faults(self.base, &faults), self.current.seed, self.goal);
-        if !severity.is_as_bad_as(&self.first, self.goal) {
+    /// Simulates the day with other faults, keeps them if the result persists, and returns whether it does.
+    fn accept_if_reproduced(&mut self, faults: Vec<ScriptedFault>) -> bool {
+        let severity = measure_severity(&with_faults(self.base, &faults), self.current.seed, self.goal);
+        if !severity.reproduces(&self.original, self.goal) {
             return false;
         }
         self.current.faults = faults;
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -1,171 +1,171 @@
-//! What a played day came to, for people, programs and comparisons. Serialized names are part of the output
-//! format and differ from the fields' where those follow newer terms.
+//! Results of a simulated day, for reports, other programs and comparisons. Serialized names are part of the output
+//! format; some fields have other names in the code.
 
 use mountshift_invariants::Verdict;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One day under one policy.
+/// Results of one day with one policy.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DayOutcome {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The policy's name.
+    /// Name of the policy.
     pub policy: String,
-    /// The seed of everything random.
+    /// Seed of all random values.
     pub seed: u64,
     /// Worth delivered over worth submitted, 0 to 1.
     pub service: f64,
-    /// The same over the worst ten seconds of arrivals.
+    /// Service of the requests that arrived in the worst ten seconds.
     pub worst_window: f64,
-    /// By message class.
+    /// Results of each message class.
     #[serde(rename = "lanes")]
     pub classes: Vec<PartOutcome>,
-    /// By tenant.
+    /// Results of each tenant.
     pub tenants: Vec<PartOutcome>,
-    /// What clients wanted delivered.
+    /// Number of requests of clients; a request can be submitted several times.
     pub requests: u64,
-    /// Submissions of requests.
+    /// Number of submissions of requests.
     pub messages: u64,
-    /// Attempts to deliver messages.
+    /// Number of attempts to deliver messages.
     #[serde(rename = "legs")]
     pub attempts: u64,
-    /// Calls that reached an endpoint while its route was out.
+    /// Number of calls that reached an endpoint while its route was out.
     pub calls_into_outages: u64,
-    /// How attempts ended, by name.
+    /// Number of attempts by outcome.
     #[serde(rename = "ends")]
     pub attempt_ends: BTreeMap<String, u64>,
-    /// Messages that relays gave up.
+    /// Number of messages that relays reported as failed.
     pub failed: u64,
-    /// Messages that relays rejected.
+    /// Number of messages that relays rejected.
     #[serde(rename = "pushed_back")]
     pub rejected: u64,
-    /// Requests that took effect under more than one message id.
+    /// Number of requests that took effect under more than one message id.
     #[serde(rename = "twins")]
     pub duplicates: u64,
-    /// How often each rule was broken, rule 1 first.
+    /// Number of breaches of each rule, rule 1 first.
     #[serde(rename = "rules")]
     pub breach_counts: [u64; 6],
-    /// What was broken, in words, with the history that shows it.
+    /// Breaches with their reasons and the facts that show them.
     pub breaches: Vec<BreachOutcome>,
-    /// Routes that were overloaded during slow start.
+    /// Number of routes that were overloaded during slow start.
     #[serde(rename = "fell_over")]
     pub overloaded_routes: u64,
-    /// Connections opened.
+    /// Number of connections opened.
     pub connections: u64,
-    /// Of all facts in their order: the same day played again gives the same.
+    /// Hash of all facts in their order; another run of the same day gives the same value.
     pub digest: String,
-    /// What a report draws; left out of results that are kept for comparisons.
+    /// Timeline for a report; omitted from results that are saved for comparisons.
     #[serde(rename = "course", default, skip_serializing_if = "Option::is_none")]
     pub timeline: Option<DayTimeline>,
 }
 
 impl DayOutcome {
-    /// True if no rule was broken.
+    /// Returns whether no rule was broken.
     pub fn has_no_breaches(&self) -> bool {
         self.breach_counts.iter().all(|n| *n == 0)
     }
 }
 
-/// A message class or a tenant.
+/// Results of a message class or a tenant.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PartOutcome {
-    /// Its name in the scenario.
+    /// Name in the scenario.
     pub name: String,
     /// Worth delivered over worth submitted, 0 to 1.
     pub service: f64,
-    /// What clients wanted delivered.
+    /// Number of requests.
     pub requests: u64,
-    /// Requests delivered before their deadlines.
+    /// Number of requests delivered before their deadlines.
     pub delivered: u64,
-    /// The median of milliseconds from the first submission to the delivery.
+    /// Median time from the first submission to the delivery, in milliseconds.
     pub p50_ms: f64,
-    /// The same, for nine tenths of deliveries.
+    /// 90th percentile of that time, in milliseconds.
     pub p90_ms: f64,
-    /// The same, for 99 in 100 deliveries.
+    /// 99th percentile of that time, in milliseconds.
     pub p99_ms: f64,
 }
 
-/// A broken rule.
+/// Breach of a rule.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BreachOutcome {
-    /// The rule's number.
+    /// Number of the rule.
     pub rule: u8,
-    /// When, in seconds of the day.
+    /// Time in seconds of the day.
     pub at_s: f64,
-    /// What was done against the rule.
+    /// Description of the breach.
     #[serde(rename = "why")]
     pub reason: String,
-    /// The history that shows it, a line for each fact.
+    /// History that shows the breach, one line per fact.
     #[serde(rename = "story")]
     pub history: Vec<String>,
 }
 
-/// The course of a day, second by second.
+/// Timeline of a day with one value per second.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DayTimeline {
-    /// By message class, by second of arrival: worth submitted, worth delivered.
+    /// Worth submitted and worth delivered, by message class and second of arrival.
     #[serde(rename = "lanes")]
     pub classes: Vec<Vec<(f64, f64)>>,
-    /// The same by tenant.
+    /// Worth submitted and worth delivered, by tenant and second of arrival.
     pub tenants: Vec<Vec<(f64, f64)>>,
-    /// Messages that all relays hold.
+    /// Number of messages held by all relays.
     #[serde(rename = "held")]
     pub queued: Vec<f64>,
-    /// Calls of all relays that are in flight.
+    /// Number of calls in flight from all relays.
     #[serde(rename = "out")]
     pub calls_in_flight: Vec<f64>,
-    /// Attempts that went out.
+    /// Number of attempts started.
     #[serde(rename = "legs")]
     pub attempts: Vec<f64>,
-    /// Messages submitted.
+    /// Number of messages submitted.
     #[serde(rename = "messages")]
     pub submissions: Vec<f64>,
-    /// By destination that was struck: calls that reached it, and what it could work off.
+    /// Load of the routes whose endpoints are targets of faults.
     pub routes: Vec<RouteTimeline>,
-    /// Breakers: relay, destination, second, state.
+    /// State changes of circuit breakers.
     pub breakers: Vec<BreakerStep>,
-    /// Troubles: kind, whom, from, to.
+    /// Faults of the scenario.
     #[serde(rename = "troubles")]
     pub faults: Vec<FaultSpan>,
 }
 
-/// The load of a route, second by second.
+/// Load of a route with one value per second.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RouteTimeline {
-    /// The destination's name.
+    /// Name of the destination.
     pub name: String,
-    /// Calls that reached it.
+    /// Number of calls that reached the route.
     #[serde(rename = "reached")]
     pub calls: Vec<f64>,
-    /// Calls that it could work off.
+    /// Number of calls that the route could process.
     pub capacity: Vec<f64>,
 }
 
-/// A change of a circuit breaker.
+/// State change of a circuit breaker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BreakerStep {
-    /// The relay that has the breaker.
+    /// Number of the relay.
     pub relay: u32,
-    /// The name of the destination that it guards.
+    /// Name of the destination whose calls the breaker controls.
     pub destination: String,
-    /// When, in seconds of the day.
+    /// Time in seconds of the day.
     pub at_s: f64,
-    /// `closed`, `open` or `half-open`.
+    /// New state: `closed`, `open` or `half-open`.
     pub state: String,
 }
 
-/// A trouble of the scenario.
+/// Fault of the scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FaultSpan {
-    /// What it is, as scenario files call it.
+    /// Kind of fault, in the notation of scenario files.
     pub kind: String,
-    /// Whom it strikes, as scenario files name them.
+    /// Targets, in the notation of scenario files.
     #[serde(rename = "whom")]
     pub targets: String,
-    /// When it begins, in seconds of the day.
+    /// Start in seconds of the day.
     pub from_s: f64,
-    /// When it ends, in seconds of the day.
+    /// End in seconds of the day.
     pub to_s: f64,
 }
 
--- a/crates/lab/src/statistics.rs
+++ b/crates/lab/src/statistics.rs
@@ -1,4 +1,4 @@
-//! Counts while a day is played: worth submitted and delivered, and the course of the day by seconds.
+//! Statistics of a simulated day: worth submitted and delivered, and a timeline by second.
 
 use crate::Time;
 use crate::outcome::{BreakerStep, DayTimeline, FaultSpan, PartOutcome, RouteTimeline};
@@ -9,22 +9,23 @@
 use std::collections::BTreeMap;
 
 const MICROSECONDS_PER_SECOND: Time = 1_000_000;
-/// The length of the worst window, in seconds.
+/// Length of the worst window, in seconds.
 const WORST_WINDOW_SECONDS: usize = 10;
-/// A window in which less than this share of the day's worth was submitted can't be the worst.
+/// Minimum share of the day's submitted worth for a window to count as the worst one.
 const MIN_WINDOW_SHARE: f64 = 0.02;
-/// Routes whose load a report shows.
+/// Maximum number of routes whose load is recorded for a report.
 const MAX_ROUTES_SHOWN: usize = 24;
-/// The longest delivery time that is told apart, in microseconds.
+/// Maximum delivery time in the histogram, in microseconds; longer times are recorded as this one.
 const MAX_DELIVERY_TIME: u64 = 600_000_000;
-/// The precision of delivery times, in decimal digits.
+/// Precision of delivery times, in significant decimal digits.
 const DELIVERY_TIME_DIGITS: u8 = 3;
-/// The shortest latency objective by which worth can halve, in seconds.
+/// Minimum half-life of the worth of a late message, in seconds, for classes with a shorter latency objective.
 const MIN_HALF_LIFE: f64 = 0.001;
-/// How the decisions' log begins a line about a circuit breaker.
+/// Prefix of log lines of the decisions about state changes of a circuit breaker.
 const BREAKER_LOG_PREFIX: &str = "breaker of ";
 
-/// Worth submitted and delivered.
+/// Worth submitted and delivered. The worth of a request is the priority weight of its message class; late delivery
+/// reduces it.
 #[derive(Clone, Copy, Default)]
 struct Worth {
     submitted: f64,
@@ -42,19 +43,19 @@
     }
 }
 
-/// Counts of a message class or a tenant.
-struct Part {
+/// Statistics of a message class or a tenant.
+struct PartStatistics {
     worth: Worth,
     requests: u64,
     delivered: u64,
     delivery_times: Option<Histogram<u64>>,
-    /// By second of arrival.
+    /// Worth by second of arrival.
     timeline: Vec<Worth>,
 }
 
-impl Part {
-    fn new(seconds: usize) -> Part {
-        Part {
+impl PartStatistics {
+    fn new(seconds: usize) -> PartStatistics {
+        PartStatistics {
             worth: Worth::default(),
             requests: 0,
             delivered: 0,
@@ -100,12 +101,12 @@
     }
 }
 
-/// A quantity by second of the day.
+/// Quantity by second of the day.
 #[derive(Default)]
 pub(crate) struct BySecond(Vec<f64>);
 
 impl BySecond {
-    /// Adds to the second that holds a time.
+    /// Adds an amount to the second of a time.
     pub(crate) fn add(&mut self, at: Time, amount: f64) {
         let second = (at / MICROSECONDS_PER_SECOND) as usize;
         if self.0.len() <= second {
@@ -115,25 +116,25 @@
     }
 }
 
-/// Calls that arrived at a route, and calls that it could work off.
+/// Number of calls that arrived at a route, and number of calls that it could process.
 #[derive(Default)]
 struct RouteLoad {
     arrived: BySecond,
     capacity: BySecond,
 }
 
-/// All counts of a day.
+/// Statistics of a day.
 pub(crate) struct Statistics {
-    classes: Vec<Part>,
-    tenants: Vec<Part>,
+    classes: Vec<PartStatistics>,
+    tenants: Vec<PartStatistics>,
     pub(crate) attempts: BySecond,
     pub(crate) submissions: BySecond,
     pub(crate) queued: BySecond,
     pub(crate) calls_in_flight: BySecond,
-    /// The routes that a report shows.
+    /// Load of the routes that a report can show, by route number.
     routes: BTreeMap<u32, RouteLoad>,
     breakers: Vec<BreakerStep>,
-    /// How attempts ended, by name.
+    /// Number of attempts by outcome.
     pub(crate) attempt_ends: BTreeMap<&'static str, u64>,
     pub(crate) failed: u64,
     pub(crate) rejected: u64,
@@ -142,13 +143,13 @@
 }
 
 impl Statistics {
-    /// Counts of a day on which clients want these requests delivered.
+    /// Creates the statistics of a day with its requests recorded.
     pub(crate) fn new(world: &World, requests: &[Request]) -> Statistics {
         let scenario = world.scenario;
         let seconds = scenario.length.as_ref().seconds().ceil() as usize + 1;
         let mut statistics = Statistics {
-            classes: scenario.classes.iter().map(|_| Part::new(seconds)).collect(),
-            tenants: scenario.tenants.iter().map(|_| Part::new(seconds)).collect(),
+            classes: scenario.classes.iter().map(|_| PartStatistics::new(seconds)).collect(),
+            tenants: scenario.tenants.iter().map(|_| PartStatistics::new(seconds)).collect(),
             attempts: BySecond::default(),
             submissions: BySecond::default(),
             queued: BySecond::default(),
@@ -163,13 +164,13 @@
         };
         for request in requests {
             let value = scenario.classes[usize::from(request.class)].priority_weight.0;
-            statistics.for_parts_of(request, |part, second| part.record_request(second, value));
+            statistics.update_parts(request, |part, second| part.record_request(second, value));
         }
         statistics
     }
 
-    /// Changes the counts of a request's class and tenant, with the second of its arrival.
-    fn for_parts_of(&mut self, request: &Request, mut change: impl FnMut(&mut Part, usize)) {
+    /// Updates the statistics of a request's class and tenant; `change` gets the second of the arrival.
+    fn update_parts(&mut self, request: &Request, mut change: impl FnMut(&mut PartStatistics, usize)) {
         let second = (request.at / MICROSECONDS_PER_SECOND) as usize;
         change(&mut self.classes[usize::from(request.class)], second);
         if let Some(tenant) = self.tenants.get_mut(request.tenant as usize) {
@@ -177,29 +178,30 @@
         }
     }
 
-    /// A request was delivered before its deadline.
+    /// Records that a request was delivered before its deadline.
     pub(crate) fn record_delivery(&mut self, world: &World, request: &Request, at: Time) {
         let class = &world.scenario.classes[usize::from(request.class)];
         let delivery_time = at - request.at;
-        let worth = class.priority_weight.0 * worth_left(class, world.scenario.rules.decay, delivery_time);
-        self.for_parts_of(request, |part, second| part.record_delivery(second, worth, delivery_time));
+        let worth =
+            class.priority_weight.0 * remaining_worth_share(class, world.scenario.rules.decay, delivery_time);
+        self.update_parts(request, |part, second| part.record_delivery(second, worth, delivery_time));
     }
 
-    /// A call arrived at a route.
+    /// Records that a call arrived at a route.
     pub(crate) fn record_arrival(&mut self, route: u32, at: Time) {
         if let Some(load) = self.routes.get_mut(&route) {
             load.arrived.add(at, 1.0);
         }
     }
 
-    /// What the routes that are shown can work off in this second.
+    /// Records how many calls each shown route can process in this second.
     pub(crate) fn sample_capacities(&mut self, at: Time, capacity: impl Fn(u32) -> f64) {
         for (route, load) in &mut self.routes {
             load.capacity.add(at, capacity(*route));
         }
     }
 
-    /// Takes breakers' changes from the decisions' log.
+    /// Records a breaker's state change if a log line of the decisions reports one.
     pub(crate) fn read_log_line(&mut self, world: &World, relay: u32, at: Time, line: &str) {
         if let Some((destination, state)) = parse_breaker_line(line) {
             let destination = world.name(destination);
@@ -208,22 +210,22 @@
         }
     }
 
-    /// Worth delivered over worth submitted, 0 to 1.
+    /// Returns worth delivered over worth submitted, 0 to 1.
     pub(crate) fn service(&self) -> f64 {
         let submitted: f64 = self.classes.iter().map(|class| class.worth.submitted).sum();
         let delivered: f64 = self.classes.iter().map(|class| class.worth.delivered).sum();
         Worth { submitted, delivered }.service()
     }
 
-    /// The service of the worst window among those with enough worth.
+    /// Returns the service of the worst window among those with enough submitted worth.
     pub(crate) fn worst_window(&self) -> f64 {
         let seconds = self.classes.first().map_or(0, |class| class.timeline.len());
-        let least = MIN_WINDOW_SHARE * self.worth_between(0, seconds).submitted;
+        let min_submitted = MIN_WINDOW_SHARE * self.worth_between(0, seconds).submitted;
         let last_start = seconds.saturating_sub(WORST_WINDOW_SECONDS).max(1);
         let mut worst: f64 = 1.0;
         for start in 0..last_start {
             let window = self.worth_between(start, (start + WORST_WINDOW_SECONDS).min(seconds));
-            if window.submitted > 0.0 && window.submitted >= least {
+            if window.submitted > 0.0 && window.submitted >= min_submitted {
                 worst = worst.min(window.service());
             }
         }
@@ -240,19 +242,19 @@
         sum
     }
 
-    /// The outcome of each message class.
+    /// Returns the results of each message class.
     pub(crate) fn classes(&self, world: &World) -> Vec<PartOutcome> {
         let named = self.classes.iter().zip(&world.scenario.classes);
         named.map(|(part, class)| part.outcome(&class.name)).collect()
     }
 
-    /// The outcome of each tenant.
+    /// Returns the results of each tenant.
     pub(crate) fn tenants(&self, world: &World) -> Vec<PartOutcome> {
         let named = self.tenants.iter().zip(&world.scenario.tenants);
         named.map(|(part, tenant)| part.outcome(&tenant.name)).collect()
     }
 
-    /// The course of the day, for a report.
+    /// Returns the timeline of the day for a report.
     pub(crate) fn timeline(self, world: &World) -> DayTimeline {
         let faults = world.scenario.faults.iter().map(|fault| fault_span(fault.as_ref()));
         let routes = self.routes.into_iter().map(|(route, load)| RouteTimeline {
@@ -261,8 +263,8 @@
             capacity: load.capacity.0,
         });
         DayTimeline {
-            classes: self.classes.into_iter().map(Part::timeline_pairs).collect(),
-            tenants: self.tenants.into_iter().map(Part::timeline_pairs).collect(),
+            classes: self.classes.into_iter().map(PartStatistics::timeline_pairs).collect(),
+            tenants: self.tenants.into_iter().map(PartStatistics::timeline_pairs).collect(),
             queued: self.queued.0,
             calls_in_flight: self.calls_in_flight.0,
             attempts: self.attempts.0,
@@ -274,7 +276,7 @@
     }
 }
 
-/// The routes of the endpoints that troubles strike, as many as a report shows.
+/// Returns the routes of the endpoints that are targets of faults, up to [`MAX_ROUTES_SHOWN`].
 fn shown_routes(world: &World) -> BTreeMap<u32, RouteLoad> {
     let mut routes = BTreeMap::new();
     for endpoint in world.faults.iter().flat_map(|fault| &fault.endpoints) {
@@ -286,18 +288,20 @@
     routes
 }
 
-/// The share of its worth that a message has left when it is delivered.
-fn worth_left(class: &MessageClass, decay: Decay, delivery_time: Time) -> f64 {
+/// Returns the share of its worth that a message keeps when it is delivered.
+fn remaining_worth_share(class: &MessageClass, decay: Decay, delivery_time: Time) -> f64 {
     let objective = class.latency_objective.seconds();
     let deadline = class.deadline.as_ref().seconds();
-    let late = (delivery_time as f64 / 1e6 - objective).max(0.0);
+    let lateness = (delivery_time as f64 / 1e6 - objective).max(0.0);
     match decay {
-        Decay::Linear => 1.0 - (1.0 - class.late_weight_share.0) * (late / (deadline - objective)).min(1.0),
-        Decay::Halving => 0.5f64.powf(late / objective.max(MIN_HALF_LIFE)).max(class.late_weight_share.0),
+        Decay::Linear => {
+            1.0 - (1.0 - class.late_weight_share.0) * (lateness / (deadline - objective)).min(1.0)
+        }
+        Decay::Halving => 0.5f64.powf(lateness / objective.max(MIN_HALF_LIFE)).max(class.late_weight_share.0),
     }
 }
 
-/// The destination and the new state of a breaker, from a line like `breaker of 3: Closed -> Open(..)`.
+/// Parses the destination and the new state of a breaker from a line like `breaker of 3: Closed -> Open(..)`.
 fn parse_breaker_line(line: &str) -> Option<(u32, &'static str)> {
     let (destination, change) = line.strip_prefix(BREAKER_LOG_PREFIX)?.split_once(':')?;
     let destination = destination.parse().ok()?;
@@ -312,7 +316,7 @@
     Some((destination, state))
 }
 
-/// The name of the destination that a route belongs to.
+/// Returns the name of the destination that a route belongs to.
 fn route_name(world: &World, route: u32) -> String {
     let endpoint = world.endpoints.iter().find(|endpoint| endpoint.route == route);
     endpoint.map_or(String::new(), |endpoint| world.name(endpoint.destination))
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -1,5 +1,4 @@
-//! Days of the library, played and judged; the same trace whatever the threads; experiments that know what they
-//! don't know.
+//! Simulated days of the example scenarios, their output formats, and experiments, searches and reports over them.
 
 use mountshift_lab::day::{Day, DayObservation, DayOptions};
 use mountshift_lab::experiment::{Estimate, compare, run, summarise, with_value};
@@ -20,11 +19,11 @@
     Scenario::read(&path(name)).expect("a scenario")
 }
 
-fn play(s: &Scenario, which: PolicyKind, seed: u64) -> DayOutcome {
-    Day::new(s, DayOptions { policy: which, seed, keep_timeline: false }).run()
+fn run_day(s: &Scenario, policy: PolicyKind, seed: u64) -> DayOutcome {
+    Day::new(s, DayOptions { policy, seed, keep_timeline: false }).run()
 }
 
-// The short form of the library that CI judges; `mountshift lab run examples/scenarios/*.toml` plays all of it.
+// Subset of the example scenarios for CI; `mountshift lab run examples/scenarios/*.toml` checks all of them.
 #[test_case("calm")]
 #[test_case("half-errors")]
 #[test_case("shut")]
@@ -44,24 +43,25 @@
 #[test_case("fleet-limits")]
 #[test_case("fleet-cold")]
 #[test_case("fleet-killed")]
-fn the_decisions_keep_the_rules(name: &str) {
+fn mountshift_policy_breaks_no_rules(name: &str) {
     let s = scenario(name);
     for seed in [11, 12] {
-        let day = play(&s, PolicyKind::Mountshift, seed);
+        let day = run_day(&s, PolicyKind::Mountshift, seed);
         assert!(day.has_no_breaches(), "seed {seed}: {:?} {:#?}", day.breach_counts, day.breaches.first());
         assert!(day.service > 0.5 && day.requests > 100, "{}", day.service);
     }
 }
 
-// Each lies between what the day serves and what it served with one guard taken out: the backoff and rate limits of
-// a large fleet (0.785 and 0.764; 0.842 and 0.813), the spread of polls of discovery (0.949 and 0.754).
+// Each threshold lies between the service measured with and without one mechanism: the backoff and the rate limits of
+// a large fleet for `fleet-limits` (0.785 and 0.764) and `fleet-cold` (0.842 and 0.813), and the spread of discovery
+// polls over time for `fleet-killed` (0.949 and 0.754).
 #[test_case("fleet-limits", 0.775)]
 #[test_case("fleet-cold", 0.83)]
 #[test_case("fleet-killed", 0.9)]
-fn large_fleets_are_served(name: &str, least: f64) {
+fn large_fleets_reach_minimum_service(name: &str, min_service: f64) {
     let s = scenario(name);
-    let served: f64 = (1..=3).map(|seed| play(&s, PolicyKind::Mountshift, seed).service).sum();
-    assert!(served / 3.0 > least, "{}", served / 3.0);
+    let sum: f64 = (1..=3).map(|seed| run_day(&s, PolicyKind::Mountshift, seed).service).sum();
+    assert!(sum / 3.0 > min_service, "{}", sum / 3.0);
 }
 
 #[test]
@@ -142,49 +142,51 @@
 }
 
 #[test]
-fn one_seed_gives_one_trace_whatever_the_threads() {
+fn trace_does_not_depend_on_the_number_of_threads() {
     let s = scenario("relays-in-waves");
     let trace = |threads: usize| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
         pool.install(|| {
             let mut lines = Vec::new();
-            let mut watch = |at: u64, seen: DayObservation| lines.push(format!("{at} {seen:?}"));
-            let play = DayOptions { policy: PolicyKind::Mountshift, seed: 3, keep_timeline: false };
-            let day = Day::new(&s, play).with_observer(&mut watch).run();
+            let mut observer =
+                |at: u64, observation: DayObservation| lines.push(format!("{at} {observation:?}"));
+            let options = DayOptions { policy: PolicyKind::Mountshift, seed: 3, keep_timeline: false };
+            let day = Day::new(&s, options).with_observer(&mut observer).run();
             (lines, day.digest)
         })
     };
     let (one, four) = (trace(1), trace(4));
     assert!(one.0.len() > 5_000);
     assert!(one == four, "traces differ");
-    assert_ne!(play(&s, PolicyKind::Mountshift, 4).digest, one.1, "another seed gives another day");
+    assert_ne!(run_day(&s, PolicyKind::Mountshift, 4).digest, one.1, "another seed gives another day");
 }
 
 #[test]
-fn textbook_policies_serve_between_floor_and_top() {
-    // A day on which a retry elsewhere helps and does no harm.
+fn policies_serve_between_single_attempt_and_omniscient() {
+    // In this scenario retries at another endpoint help and do no harm.
     let s = scenario("one-endpoint-down");
     let days = run(&s, &PolicyKind::ALL, &[1, 2, 3], false, &|_| {});
-    let of = |which: PolicyKind| {
-        let days: Vec<f64> = days.iter().filter(|d| d.policy == which.name()).map(|d| d.service).collect();
-        days.iter().sum::<f64>() / days.len() as f64
+    let mean_service = |policy: PolicyKind| {
+        let services: Vec<f64> =
+            days.iter().filter(|d| d.policy == policy.name()).map(|d| d.service).collect();
+        services.iter().sum::<f64>() / services.len() as f64
     };
     assert!(
-        of(PolicyKind::Omniscient) > of(PolicyKind::SingleAttempt) + 0.05,
+        mean_service(PolicyKind::Omniscient) > mean_service(PolicyKind::SingleAttempt) + 0.05,
         "{} {}",
-        of(PolicyKind::Omniscient),
-        of(PolicyKind::SingleAttempt)
+        mean_service(PolicyKind::Omniscient),
+        mean_service(PolicyKind::SingleAttempt)
     );
-    for which in
+    for policy in
         [PolicyKind::Backoff, PolicyKind::CircuitBreaker, PolicyKind::LeastInFlight, PolicyKind::Mountshift]
     {
-        assert!(of(which) > of(PolicyKind::SingleAttempt), "{which:?}");
-        assert!(of(which) < of(PolicyKind::Omniscient) + 0.01, "{which:?}");
+        assert!(mean_service(policy) > mean_service(PolicyKind::SingleAttempt), "{policy:?}");
+        assert!(mean_service(policy) < mean_service(PolicyKind::Omniscient) + 0.01, "{policy:?}");
     }
 }
 
 #[test]
-fn comparison_claims_a_difference_only_where_there_is_one() {
+fn comparison_claims_only_significant_differences() {
     let s = scenario("crash-cold");
     let seeds: Vec<u64> = (1..=8).collect();
     let a = run(&s, &[PolicyKind::Mountshift], &seeds, false, &|_| {});
@@ -200,14 +202,14 @@
 }
 
 #[test]
-fn a_value_is_changed_by_its_path() {
+fn with_value_changes_the_value_at_a_path() {
     let text = std::fs::read_to_string(path("slow")).expect("a file");
     let changed = with_value(&text, "slow.toml", "trouble.0.level", "3").expect("a scenario");
     assert_eq!(changed.faults[0].as_ref().level.map(|l| l.0), Some(3.0));
-    let set = with_value(&text, "slow.toml", "relays.round_gap", "10 ms").expect("a scenario");
-    assert_eq!(set.relays.min_step_interval.us(), 10_000);
-    let none = with_value(&text, "slow.toml", "trouble.7.level", "3").expect_err("refused");
-    assert_eq!(none.to_string(), "slow.toml: there is no trouble.7.level: nothing at \"7\"");
+    let added = with_value(&text, "slow.toml", "relays.round_gap", "10 ms").expect("a scenario");
+    assert_eq!(added.relays.min_step_interval.us(), 10_000);
+    let missing = with_value(&text, "slow.toml", "trouble.7.level", "3").expect_err("refused");
+    assert_eq!(missing.to_string(), "slow.toml: no value at trouble.7.level: \"7\" does not exist");
     assert!(
         with_value(&text, "slow.toml", "trouble.0.level", "0")
             .expect_err("refused")
@@ -217,18 +219,18 @@
 }
 
 #[test]
-fn hunt_finds_a_reduced_day_that_can_be_played_again() {
+fn hunt_returns_a_reduced_day_that_is_reproducible() {
     let s = scenario("calm");
     let found = hunt(&s, SearchGoal::Loss, 12, 1, &|| {}).expect("a bad day");
     assert!(found.severity.loss() > 0.01 && found.fault_counts.1 <= found.fault_counts.0);
     let text = found.scenario.to_text().expect("a text");
     let again = Scenario::from_text(&text, "found").expect("a scenario");
-    let day = play(&again, PolicyKind::Mountshift, found.seed);
+    let day = run_day(&again, PolicyKind::Mountshift, found.seed);
     assert_eq!(day.service, found.severity.service);
 }
 
 #[test]
-fn a_report_is_one_page_that_needs_nothing_else() {
+fn report_is_self_contained() {
     let s = scenario("everything");
     let days = run(
         &s,
@@ -245,7 +247,7 @@
 }
 
 #[test]
-fn summary_places_policies_between_floor_and_top() {
+fn relative_service_is_0_for_single_attempt_and_1_for_omniscient() {
     let s = scenario("silent");
     let days = run(
         &s,
@@ -255,18 +257,21 @@
         &|_| {},
     );
     let summaries = summarise(&days);
-    let place = |which: PolicyKind| {
-        summaries.iter().find(|s| s.policy == which.name()).and_then(|s| s.relative_service)
+    let relative_service = |policy: PolicyKind| {
+        summaries.iter().find(|s| s.policy == policy.name()).and_then(|s| s.relative_service)
     };
-    assert_eq!((place(PolicyKind::SingleAttempt), place(PolicyKind::Omniscient)), (Some(0.0), Some(1.0)));
-    assert!(place(PolicyKind::Mountshift).is_some_and(|p| p > 0.0));
+    assert_eq!(
+        (relative_service(PolicyKind::SingleAttempt), relative_service(PolicyKind::Omniscient)),
+        (Some(0.0), Some(1.0))
+    );
+    assert!(relative_service(PolicyKind::Mountshift).is_some_and(|service| service > 0.0));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn an_estimate_holds_its_mean(values in proptest::collection::vec(0.0f64..1.0, 1..40)) {
+    fn estimate_interval_contains_its_mean(values in proptest::collection::vec(0.0f64..1.0, 1..40)) {
         let e = Estimate::of(&values);
         prop_assert!(e.low <= e.mean + 1e-9 && e.mean <= e.high + 1e-9);
         prop_assert_eq!(e.n, values.len());
