--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,5 +1,5 @@
-//! One self-contained HTML page of a run: policies with floor and top, message classes, the course of a day, broken
-//! rules with their stories.
+//! Self-contained HTML report of simulated days: policies, message classes, the timeline of a day, and breaches with
+//! their histories.
 
 mod charts;
 
@@ -12,20 +12,20 @@
 use std::collections::BTreeSet;
 
 const PAGE: &str = include_str!("report.html");
-/// Broken rules whose stories are printed.
-const MAX_STORIES: usize = 5;
-/// The last lines of each story that are printed.
-const MAX_STORY_LINES: usize = 40;
+/// Maximum number of breaches in a report.
+const MAX_BREACHES: usize = 5;
+/// Maximum number of lines of a breach's history; the last ones are printed.
+const MAX_HISTORY_LINES: usize = 40;
 
-/// The page, from days of one scenario; the course is that of the first day that kept one.
+/// Renders the report of days of one scenario. The timeline is that of the first day that kept one.
 ///
 /// # Errors
-/// If a plot or the page can't be made, or no day is there.
+/// If a chart or the page can't be rendered, or there are no days.
 pub fn page(scenario: &Scenario, days: &[DayOutcome]) -> Result<String, LabError> {
-    let with_course = days.iter().find(|day| day.timeline.is_some());
-    let shown = with_course.or(days.first()).ok_or(LabError::NoDays)?;
-    let ours = PolicyKind::Mountshift.name();
-    let days_of_ours: Vec<&DayOutcome> = days.iter().filter(|day| day.policy == ours).collect();
+    let with_timeline = days.iter().find(|day| day.timeline.is_some());
+    let shown = with_timeline.or(days.first()).ok_or(LabError::NoDays)?;
+    let mountshift = PolicyKind::Mountshift.name();
+    let mountshift_days: Vec<&DayOutcome> = days.iter().filter(|day| day.policy == mountshift).collect();
     let seeds: BTreeSet<u64> = days.iter().map(|day| day.seed).collect();
     let seeds: Vec<String> = seeds.iter().map(u64::to_string).collect();
     let policies: Vec<Value> = summarise(days).iter().map(policy_row).collect();
@@ -38,10 +38,11 @@
     let page = environment.get_template("page").map_err(LabError::report)?;
     page.render(context! {
         name => scenario.name.as_str(), about => scenario.description.as_str(), days => days.len(),
-        seeds => seeds.join(", "), ours => ours, kept => days_of_ours.iter().all(|day| day.has_no_breaches()),
-        policies => policies, lanes => classes, tenants => !shown.tenants.is_empty(), seed => shown.seed,
-        figures => figures(scenario, shown.timeline.as_ref())?, troubles => faults,
-        breaches => breach_rows(&days_of_ours),
+        seeds => seeds.join(", "), mountshift => mountshift,
+        has_no_breaches => mountshift_days.iter().all(|day| day.has_no_breaches()),
+        policies => policies, classes => classes, has_tenants => !shown.tenants.is_empty(), seed => shown.seed,
+        figures => figures(scenario, shown.timeline.as_ref())?, faults => faults,
+        breaches => breach_rows(&mountshift_days),
     })
     .map_err(LabError::report)
 }
@@ -49,16 +50,17 @@
 fn policy_row(summary: &Summary) -> Value {
     let broken = summary.days_with_breaches.iter().enumerate().filter(|(_, days)| **days > 0);
     let broken: Vec<String> = broken.map(|(rule, days)| format!("{} ({days})", rule + 1)).collect();
-    let place = summary.relative_service.map_or("too close".to_string(), |place| format!("{place:.2}"));
+    let relative_service =
+        summary.relative_service.map_or("-".to_string(), |service| format!("{service:.2}"));
     context! {
         policy => summary.policy.as_str(),
         service => summary.service.to_string(),
-        worst => format!("{:.3}", summary.worst_window.mean),
-        place => place,
-        legs => format!("{:.2}", summary.attempts_per_message),
-        into => format!("{:.0}", summary.calls_into_outages),
-        fell => format!("{:.1}", summary.overloaded_routes),
-        broken => if broken.is_empty() { "none".to_string() } else { broken.join(", ") },
+        worst_window => format!("{:.3}", summary.worst_window.mean),
+        relative_service => relative_service,
+        attempts => format!("{:.2}", summary.attempts_per_message),
+        calls_into_outages => format!("{:.0}", summary.calls_into_outages),
+        overloaded_routes => format!("{:.1}", summary.overloaded_routes),
+        broken_rules => if broken.is_empty() { "none".to_string() } else { broken.join(", ") },
     }
 }
 
@@ -85,7 +87,7 @@
 fn fault_row(fault: &FaultSpan) -> Value {
     context! {
         kind => fault.kind.as_str(),
-        whom => fault.targets.as_str(),
+        targets => fault.targets.as_str(),
         from_s => fault.from_s,
         to_s => fault.to_s,
     }
@@ -93,18 +95,18 @@
 
 fn breach_rows(days: &[&DayOutcome]) -> Vec<Value> {
     let breaches = days.iter().flat_map(|day| day.breaches.iter().map(|breach| (*day, breach)));
-    breaches.take(MAX_STORIES).map(|(day, breach)| breach_row(day, breach)).collect()
+    breaches.take(MAX_BREACHES).map(|(day, breach)| breach_row(day, breach)).collect()
 }
 
 fn breach_row(day: &DayOutcome, breach: &BreachOutcome) -> Value {
-    let skipped = breach.history.len().saturating_sub(MAX_STORY_LINES);
+    let skipped = breach.history.len().saturating_sub(MAX_HISTORY_LINES);
     context! {
         rule => breach.rule,
         at => format!("{:.3}", breach.at_s),
         policy => day.policy.as_str(),
         seed => day.seed,
-        why => breach.reason.as_str(),
-        story => breach.history[skipped..].join("\n"),
+        reason => breach.reason.as_str(),
+        history => breach.history[skipped..].join("\n"),
     }
 }
 
--- a/crates/lab/src/report/charts.rs
+++ b/crates/lab/src/report/charts.rs
@@ -7,21 +7,21 @@
 use plotters::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The width of a chart, in pixels.
+/// Width of a chart, in pixels.
 const WIDTH: u32 = 1_000;
-/// The height of a chart of lines, in pixels.
+/// Height of a line chart, in pixels.
 const LINES_HEIGHT: u32 = 250;
-/// The height of a chart of bands without its rows, in pixels.
+/// Height of the breaker chart without its rows, in pixels.
 const BANDS_HEIGHT: u32 = 60;
-/// The height of a row of a chart of bands, in pixels.
+/// Height of a row of the breaker chart, in pixels.
 const BAND_ROW_HEIGHT: u32 = 20;
-/// Destinations whose breakers are shown.
+/// Maximum number of destinations whose breakers are shown.
 const MAX_BANDS: usize = 16;
-/// Routes whose load is shown.
+/// Maximum number of routes whose load is shown.
 const MAX_ROUTES: usize = 6;
-/// The top of a chart of shares, a little above all.
+/// Top of the value axis of a chart of shares, slightly above the maximum of 1.
 const SHARE_TOP: f64 = 1.02;
-/// The top of other charts, over their highest value.
+/// Ratio of the top of the value axis to the highest value, in charts of other quantities.
 const HEADROOM: f64 = 1.08;
 const LINE_COLOURS: [RGBColor; 6] = [
     RGBColor(31, 98, 166),
@@ -31,17 +31,17 @@
     RGBColor(120, 120, 30),
     RGBColor(60, 60, 60),
 ];
-const TROUBLE_COLOUR: RGBColor = RGBColor(214, 80, 60);
+const FAULT_COLOUR: RGBColor = RGBColor(214, 80, 60);
 const OPEN_COLOUR: RGBColor = RGBColor(205, 62, 48);
 const HALF_OPEN_COLOUR: RGBColor = RGBColor(240, 180, 60);
 
-/// A chart and what stands below it.
+/// Chart as SVG with its caption.
 pub(super) struct Chart {
     pub(super) svg: String,
     pub(super) caption: String,
 }
 
-/// A named line of a chart, a value for each second.
+/// Named line of a chart with one value per second.
 struct Line {
     name: String,
     values: Vec<f64>,
@@ -55,7 +55,7 @@
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// All charts of a day's course.
+/// Draws all charts of a day's timeline.
 pub(super) fn draw(scenario: &Scenario, timeline: &DayTimeline) -> Result<Vec<Chart>, LabError> {
     let mut charts = vec![class_chart(scenario, timeline)?];
     if !timeline.tenants.is_empty() {
@@ -78,7 +78,8 @@
     let lines = service_lines(names, &timeline.classes);
     Ok(Chart {
         svg: line_chart(timeline, "share of worth delivered", Some(SHARE_TOP), &lines)?,
-        caption: "Service by lane and second of arrival (over three seconds). Shaded: troubles.".to_string(),
+        caption: "Service by message class and second of arrival (over three seconds). Shaded: faults."
+            .to_string(),
     })
 }
 
@@ -92,10 +93,13 @@
 }
 
 fn queue_chart(timeline: &DayTimeline) -> Result<Chart, LabError> {
-    let lines = [Line::new("held", &timeline.queued), Line::new("calls out", &timeline.calls_in_flight)];
+    let lines = [
+        Line::new("messages held", &timeline.queued),
+        Line::new("calls in flight", &timeline.calls_in_flight),
+    ];
     Ok(Chart {
         svg: line_chart(timeline, "messages", None, &lines)?,
-        caption: "Messages held and calls out, over all relays.".to_string(),
+        caption: "Messages held and calls in flight, over all relays.".to_string(),
     })
 }
 
@@ -105,17 +109,17 @@
         attempts / timeline.submissions[second].max(1.0)
     };
     let attempts: Vec<f64> = (0..timeline.submissions.len()).map(per_message).collect();
-    let lines = [Line::new("legs for each message handed in", &attempts)];
+    let lines = [Line::new("attempts per submitted message", &attempts)];
     Ok(Chart {
-        svg: line_chart(timeline, "legs", None, &lines)?,
-        caption: "Legs that went out in a second for each message handed in then.".to_string(),
+        svg: line_chart(timeline, "attempts", None, &lines)?,
+        caption: "Attempts started in a second per message submitted in that second.".to_string(),
     })
 }
 
 fn breaker_chart(timeline: &DayTimeline) -> Result<Chart, LabError> {
     Ok(Chart {
         svg: band_chart(timeline)?,
-        caption: "Breakers by destination: share of relays with it open (red) or half-open (amber)."
+        caption: "Circuit breakers by destination: share of relays whose breaker is open (red) or half-open (amber)."
             .to_string(),
     })
 }
@@ -123,29 +127,31 @@
 fn route_chart(timeline: &DayTimeline, route: &RouteTimeline) -> Result<Chart, LabError> {
     let lines = [Line::new("calls", &route.calls), Line::new("capacity", &route.capacity)];
     Ok(Chart {
-        svg: line_chart(timeline, "calls a second", None, &lines)?,
+        svg: line_chart(timeline, "calls per second", None, &lines)?,
         caption: format!(
-            "Calls that reached {} and what it could work off: nothing while out, less while cold.",
+            "Calls that reached {} and its capacity: zero during an outage, reduced during slow start.",
             route.name
         ),
     })
 }
 
-/// Worth submitted and delivered by second, as lines of service.
+/// Converts worth submitted and delivered by second to lines of service.
 fn service_lines<'n>(names: impl Iterator<Item = &'n str>, all: &[Vec<(f64, f64)>]) -> Vec<Line> {
-    let line = |(name, by_second): (&str, &Vec<(f64, f64)>)| Line::new(name, &smooth_service(by_second));
+    let line = |(name, worth_by_second): (&str, &Vec<(f64, f64)>)| {
+        Line::new(name, &smoothed_service(worth_by_second))
+    };
     names.zip(all).map(line).collect()
 }
 
-/// Service over three seconds around each; nothing where nothing was submitted.
-fn smooth_service(by_second: &[(f64, f64)]) -> Vec<f64> {
+/// Returns the service over three seconds around each second; NaN where nothing was submitted.
+fn smoothed_service(worth_by_second: &[(f64, f64)]) -> Vec<f64> {
     let service = |second: usize| {
-        let near = &by_second[second.saturating_sub(1)..(second + 2).min(by_second.len())];
+        let near = &worth_by_second[second.saturating_sub(1)..(second + 2).min(worth_by_second.len())];
         let submitted: f64 = near.iter().fold(0.0, |sum, worth| sum + worth.0);
         let delivered: f64 = near.iter().fold(0.0, |sum, worth| sum + worth.1);
         if submitted > 0.0 { delivered / submitted } else { f64::NAN }
     };
-    (0..by_second.len()).map(service).collect()
+    (0..worth_by_second.len()).map(service).collect()
 }
 
 fn svg(height: u32, draw: impl FnOnce(&Area) -> Result<(), LabError>) -> Result<String, LabError> {
@@ -159,7 +165,7 @@
     Ok(text)
 }
 
-/// Shades the spans of troubles; `pixel` gives the place of a second and a value on the area.
+/// Shades the durations of faults; `pixel` maps a second and a value to a position on the area.
 fn shade_faults(
     timeline: &DayTimeline,
     area: &Area,
@@ -169,7 +175,7 @@
 ) -> Result<(), LabError> {
     for fault in &timeline.faults {
         let corners = [pixel(fault.from_s.min(last_second), top), pixel(fault.to_s.min(last_second), 0.0)];
-        let shade = Rectangle::new(corners, TROUBLE_COLOUR.mix(0.09).filled());
+        let shade = Rectangle::new(corners, FAULT_COLOUR.mix(0.09).filled());
         area.draw(&shade).map_err(LabError::report)?;
     }
     Ok(())
@@ -212,13 +218,13 @@
     })
 }
 
-/// A destination with the changes of its breakers.
+/// Row of the breaker chart: a destination with the state changes of its breakers.
 struct Band<'c> {
     destination: &'c str,
     steps: Vec<&'c BreakerStep>,
 }
 
-/// The destinations whose breakers changed most, by name.
+/// Returns the destinations whose breakers changed most often, sorted by name.
 fn bands(timeline: &DayTimeline) -> Vec<Band<'_>> {
     let mut by_destination: BTreeMap<&str, Vec<&BreakerStep>> = BTreeMap::new();
     for step in &timeline.breakers {
@@ -232,7 +238,7 @@
     bands
 }
 
-/// Open and half-open breakers by destination over time.
+/// Draws the shares of open and half-open breakers by destination over time.
 fn band_chart(timeline: &DayTimeline) -> Result<String, LabError> {
     let bands = bands(timeline);
     let seconds = timeline.queued.len().max(2) as f64;
@@ -263,7 +269,8 @@
 
 type Bar = Rectangle<(f64, f64)>;
 
-/// From each change to the next: how many relays had the breaker open, and how many half-open.
+/// Returns bars for the time from each state change to the next: the share of relays whose breaker was open, and the
+/// share whose breaker was half-open.
 fn band_bars(band: &Band, row: usize, seconds: f64, relay_count: f64) -> Vec<[Bar; 2]> {
     let mut states: BTreeMap<u32, &str> = BTreeMap::new();
     let ends = band.steps.iter().skip(1).map(|step| step.at_s).chain([seconds]);
