--- a/crates/lab/tests/fault_injection.rs
+++ b/crates/lab/tests/fault_injection.rs
@@ -1,5 +1,5 @@
-//! The invariant checker proved on whole days: a fault is injected, so that a rule is broken on purpose, and the
-//! checker must name that rule; the same day without the fault must be clean.
+//! Tests of the invariant checker on whole simulated days. A fault between the model and the policy breaks a rule, and
+//! the checker must report that rule; the same day without the fault must have no breaches.
 
 use mountshift::interface::*;
 use mountshift::policy::DeliveryPolicy;
@@ -11,41 +11,41 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// The fault that is injected between the model and the decisions.
+/// Fault injected between the model and the policy.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// Final answers are dropped.
+    /// Failed messages get no final answer.
     AnswersDropped,
-    /// Each final answer is given twice.
+    /// Failed messages get two final answers.
     AnswersDuplicated,
-    /// What has just been failed is sent once more.
+    /// A message is sent again after it was reported as failed.
     AttemptAfterFailure,
-    /// The decisions are told deadlines that fault three seconds later.
+    /// The policy receives deadlines that are three seconds too late.
     LaterDeadlines,
-    /// Each attempt goes to a second endpoint too.
+    /// Each attempt is also sent to a second endpoint.
     ParallelAttempts,
-    /// The decisions are told that every class is idempotent.
+    /// The settings declare every message class idempotent.
     AllClassesIdempotent,
-    /// They are told that endpoints recognise repeats for a minute.
+    /// The settings contain a deduplication window of one minute.
     LongerDeduplicationWindow,
-    /// They are told that all endpoints recognise repeats.
+    /// The settings declare that all endpoints of a destination share idempotency keys.
     DeduplicationAtAllEndpoints,
-    /// Clients are told failures as rejections.
+    /// Failed messages are reported to clients as rejected.
     FailuresAsRejections,
-    /// What was sent before a restart is not restored.
+    /// Attempts from before a restart are not restored.
     EarlierAttemptsForgotten,
-    /// What is restored is told as out of time.
+    /// Messages restored after a restart have reached their deadlines.
     RestoredMessagesExpired,
-    /// Draining endpoints are told as ready.
+    /// Draining endpoints are listed as ready.
     DrainsHidden,
-    /// The decisions are told that one relay alone sends, and that destinations bear their whole rate at once.
+    /// The settings declare a fleet of one relay and destinations that bear their full rate right after an outage.
     NoSlowStart,
-    /// They are told that no class keeps an order.
+    /// The settings declare no message class ordered.
     NoOrdering,
-    /// They are told that a key needs no hold-off.
+    /// The settings contain no hold-off of ordering keys.
     NoHoldOff,
-    /// Retry-After is kept from them.
+    /// The policy receives no Retry-After.
     RetryAfterHidden,
 }
 
@@ -55,61 +55,61 @@
 }
 
 struct FaultyActions<'a> {
-    out: &'a mut dyn Actions,
+    actions: &'a mut dyn Actions,
     fault: Fault,
-    peers: Vec<EndpointId>,
-    last: Option<EndpointId>,
+    endpoints: Vec<EndpointId>,
+    last_endpoint: Option<EndpointId>,
 }
 
 impl Actions for FaultyActions<'_> {
-    fn send(&mut self, msg: MessageId, to: EndpointId, limit: Duration) {
-        self.out.send(msg, to, limit);
-        self.last = Some(to);
+    fn send(&mut self, message: MessageId, endpoint: EndpointId, limit: Duration) {
+        self.actions.send(message, endpoint, limit);
+        self.last_endpoint = Some(endpoint);
         if self.fault == Fault::ParallelAttempts {
             // Endpoints of a destination have neighbouring numbers.
-            let other = if to.0 % 2 == 1 { to.0 + 1 } else { to.0 - 1 };
-            if self.peers.contains(&EndpointId(other)) {
-                self.out.send(msg, EndpointId(other), limit);
+            let other = if endpoint.0 % 2 == 1 { endpoint.0 + 1 } else { endpoint.0 - 1 };
+            if self.endpoints.contains(&EndpointId(other)) {
+                self.actions.send(message, EndpointId(other), limit);
             }
         }
     }
-    fn reject(&mut self, msg: MessageId, pause: Duration) -> bool {
-        self.out.reject(msg, pause)
+    fn reject(&mut self, message: MessageId, retry_after: Duration) -> bool {
+        self.actions.reject(message, retry_after)
     }
-    fn fail(&mut self, msg: MessageId) -> bool {
+    fn fail(&mut self, message: MessageId) -> bool {
         match self.fault {
             Fault::AnswersDropped => false,
             Fault::AnswersDuplicated => {
-                self.out.fail(msg);
-                self.out.fail(msg)
+                self.actions.fail(message);
+                self.actions.fail(message)
             }
             Fault::AttemptAfterFailure => {
-                let at_once = self.out.fail(msg);
-                let to = self.last.unwrap_or(EndpointId(1));
-                self.out.send(msg, to, Duration::from_millis(500));
-                at_once
+                let is_closed = self.actions.fail(message);
+                let endpoint = self.last_endpoint.unwrap_or(EndpointId(1));
+                self.actions.send(message, endpoint, Duration::from_millis(500));
+                is_closed
             }
-            Fault::FailuresAsRejections => self.out.reject(msg, Duration::from_millis(100)),
-            _ => self.out.fail(msg),
+            Fault::FailuresAsRejections => self.actions.reject(message, Duration::from_millis(100)),
+            _ => self.actions.fail(message),
         }
     }
-    fn cancel(&mut self, msg: MessageId, leg: AttemptNumber) {
-        self.out.cancel(msg, leg);
+    fn cancel(&mut self, message: MessageId, attempt: AttemptNumber) {
+        self.actions.cancel(message, attempt);
     }
-    fn close_idle_connections(&mut self, to: EndpointId) {
-        self.out.close_idle_connections(to);
+    fn close_idle_connections(&mut self, endpoint: EndpointId) {
+        self.actions.close_idle_connections(endpoint);
     }
     fn forget_endpoint(&mut self, endpoint: EndpointId) {
-        self.out.forget_endpoint(endpoint);
+        self.actions.forget_endpoint(endpoint);
     }
-    fn wake_after(&mut self, after: Duration) {
-        self.out.wake_after(after);
+    fn wake_after(&mut self, delay: Duration) {
+        self.actions.wake_after(delay);
     }
     fn poll_endpoints(&mut self) {
-        self.out.poll_endpoints();
+        self.actions.poll_endpoints();
     }
     fn log(&mut self, line: &str) {
-        self.out.log(line);
+        self.actions.log(line);
     }
 }
 
@@ -145,10 +145,10 @@
         now: Duration,
         inputs: &mut Vec<Input>,
         _: Option<&mut GroundTruth>,
-        out: &mut dyn Actions,
+        actions: &mut dyn Actions,
     ) {
         let fault = self.fault;
-        let mut peers = Vec::new();
+        let mut endpoints = Vec::new();
         inputs.retain_mut(|input| match input {
             Input::Submitted { submission, .. } if fault == Fault::LaterDeadlines => {
                 submission.deadline += Duration::from_secs(3);
@@ -167,17 +167,17 @@
             }
             Input::RetryAfter { .. } => fault != Fault::RetryAfterHidden,
             Input::AttemptEnded { outcome, .. } if fault == Fault::RetryAfterHidden => {
-                if let Outcome::Rejected { retry_after: wait } = outcome {
-                    *wait = Duration::ZERO;
+                if let Outcome::Rejected { retry_after } = outcome {
+                    *retry_after = Duration::ZERO;
                 }
                 true
             }
             _ => true,
         });
         if fault == Fault::ParallelAttempts {
-            peers = (1..=200).map(EndpointId).collect();
+            endpoints = (1..=200).map(EndpointId).collect();
         }
-        let mut faulty_actions = FaultyActions { out, fault, peers, last: None };
+        let mut faulty_actions = FaultyActions { actions, fault, endpoints, last_endpoint: None };
         Policy::step(&mut self.policy, now, inputs, None, &mut faulty_actions);
     }
 }
@@ -187,17 +187,17 @@
     Scenario::read(path.as_ref()).expect("a scenario")
 }
 
-fn play(name: &str, fault: Fault, seed: u64, change: impl FnOnce(&mut Scenario)) -> DayOutcome {
+fn run_day(name: &str, fault: Fault, seed: u64, change: impl FnOnce(&mut Scenario)) -> DayOutcome {
     let mut s = scenario(name);
-    // One key a destination: a queue stands behind every message that keeps its order.
+    // One ordering key per destination, so that a queue forms behind each ordered message.
     s.traffic.keys = std::num::NonZeroU32::MIN;
     change(&mut s);
-    let play = DayOptions { policy: PolicyKind::Mountshift, seed, keep_timeline: false };
-    Day::new(&s, play).with_policy(Box::new(move |settings| faulty_policy(fault, settings))).run()
+    let options = DayOptions { policy: PolicyKind::Mountshift, seed, keep_timeline: false };
+    Day::new(&s, options).with_policy(Box::new(move |settings| faulty_policy(fault, settings))).run()
 }
 
-/// Rule by rule, if it was broken.
-fn broken(day: &DayOutcome) -> Vec<usize> {
+/// Returns the numbers of the rules that were broken.
+fn broken_rules(day: &DayOutcome) -> Vec<usize> {
     (1..=6).filter(|rule| day.breach_counts[rule - 1] > 0).collect()
 }
 
@@ -207,31 +207,38 @@
 #[test_case("vanish", Fault::LaterDeadlines, 1; "final answer after the deadline")]
 #[test_case("calm", Fault::ParallelAttempts, 2; "parallel attempts")]
 #[test_case("half-errors", Fault::AllClassesIdempotent, 2; "every class treated as idempotent")]
-#[test_case("half-errors", Fault::FailuresAsRejections, 2; "failure told as a rejection")]
+#[test_case("half-errors", Fault::FailuresAsRejections, 2; "failure reported as a rejection")]
 #[test_case("fast-errors", Fault::LongerDeduplicationWindow, 2; "repeat after the deduplication window")]
 #[test_case("relays-in-waves", Fault::EarlierAttemptsForgotten, 2; "earlier attempts forgotten")]
 #[test_case("relays-in-waves", Fault::RestoredMessagesExpired, 1; "restored messages expired")]
 #[test_case("rolling-drain", Fault::DrainsHidden, 3; "drains hidden")]
 #[test_case("crowd-cold", Fault::NoSlowStart, 4; "no slow start")]
 #[test_case("slow", Fault::NoOrdering, 5; "no ordering")]
-#[test_case("resets", Fault::NoHoldOff, 5; "no hold off for a key")]
+#[test_case("resets", Fault::NoHoldOff, 5; "no hold-off of ordering keys")]
 #[test_case("limit-count", Fault::RetryAfterHidden, 6; "retry after hidden")]
-fn an_injected_fault_is_found(name: &str, fault: Fault, rule: usize) {
-    let clean = play(name, Fault::None, 5, |_| {});
-    assert_eq!(broken(&clean), Vec::<usize>::new(), "{:?}", clean.breaches.first());
-    // Not every day gives every fault its chance.
-    let mut days = (5..15).map(|seed| play(name, fault, seed, |_| {}));
-    let faulty = days.find(|day| broken(day).contains(&rule)).expect("a day on which the rule is broken");
+fn checker_reports_the_rule_that_a_fault_breaks(name: &str, fault: Fault, rule: usize) {
+    let clean = run_day(name, Fault::None, 5, |_| {});
+    assert_eq!(broken_rules(&clean), Vec::<usize>::new(), "{:?}", clean.breaches.first());
+    // A fault does not break its rule on every seed.
+    let mut days = (5..15).map(|seed| run_day(name, fault, seed, |_| {}));
+    let faulty =
+        days.find(|day| broken_rules(day).contains(&rule)).expect("a day on which the rule is broken");
     let breach = faulty.breaches.iter().find(|b| usize::from(b.rule) == rule).expect("a breach");
     assert!(!breach.history.is_empty() && !breach.reason.is_empty());
 }
 
 #[test]
-fn a_repeat_outside_the_deduplication_zone_is_found() {
-    let by_zone = |s: &mut Scenario| {
+fn checker_reports_a_repeat_outside_the_deduplication_zone() {
+    let deduplicate_per_zone = |s: &mut Scenario| {
         let text = s.to_text().expect("a text").replace("memory = ", "group = \"zone\"\nmemory = ");
         *s = Scenario::from_text(&text, "by zone").expect("a scenario");
     };
-    assert_eq!(broken(&play("fast-errors", Fault::None, 5, by_zone)), Vec::<usize>::new());
-    assert_eq!(broken(&play("fast-errors", Fault::DeduplicationAtAllEndpoints, 5, by_zone)), vec![2]);
+    assert_eq!(
+        broken_rules(&run_day("fast-errors", Fault::None, 5, deduplicate_per_zone)),
+        Vec::<usize>::new()
+    );
+    assert_eq!(
+        broken_rules(&run_day("fast-errors", Fault::DeduplicationAtAllEndpoints, 5, deduplicate_per_zone)),
+        vec![2]
+    );
 }
