--- a/crates/invariants/src/checker.rs
+++ b/crates/invariants/src/checker.rs
@@ -1,4 +1,4 @@
-//! The checker itself: takes facts in, keeps the shared state, and asks each rule what the fact breaks.
+//! The checker: receives facts, keeps the shared state and applies the rules to each fact.
 
 use crate::rules::{drain, final_answer, key_order, retry_after, single_effect};
 use crate::state::endpoint::Endpoint;
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// Reads the facts of a day in the order in which they happen, and collects breaches of the rules.
+/// Reads the facts of a day in the order of their times and collects breaches of the rules.
 pub struct InvariantChecker {
     pub(crate) parameters: RuleParameters,
     pub(crate) now: Time,
@@ -19,17 +19,17 @@
     pub(crate) settled: FxHashMap<u64, SettledMessage>,
     pub(crate) routes: FxHashMap<u32, Route>,
     pub(crate) relays: FxHashMap<u32, Relay>,
-    /// When the calls of messages that are not settled started.
+    /// Start times of calls with messages that are not settled.
     pub(crate) call_starts: FxHashMap<u64, Time>,
-    /// When accepted messages must have a final answer, with the slack.
+    /// Accepted messages by the time when they must have a final answer, slack included.
     pub(crate) due: BTreeSet<(Time, u64)>,
     pub(crate) verdict: Verdict,
-    /// The history of the first message that was found untried and given up.
-    pub(crate) first_given_up: History,
+    /// History of the first message that was recovered unattempted and failed without an attempt.
+    pub(crate) first_failed_unattempted: History,
 }
 
 impl InvariantChecker {
-    /// A checker that has seen nothing.
+    /// Creates a checker without any facts.
     pub fn new(parameters: RuleParameters) -> InvariantChecker {
         InvariantChecker {
             parameters,
@@ -42,11 +42,11 @@
             call_starts: FxHashMap::default(),
             due: BTreeSet::new(),
             verdict: Verdict::default(),
-            first_given_up: Vec::new(),
+            first_failed_unattempted: Vec::new(),
         }
     }
 
-    /// Takes a fact in. Facts must come in the order of their times.
+    /// Processes a fact. Facts must be given in the order of their times.
     pub fn observe(&mut self, at: Time, fact: Fact) {
         self.now = self.now.max(at);
         self.report_lost_messages();
@@ -62,41 +62,44 @@
         }
     }
 
-    /// Ends the day at a time by which every message must be settled, and tells what was found.
+    /// Ends the day at a time by which every message must be settled, and returns the results.
     pub fn finish(mut self, at: Time) -> Verdict {
         self.now = self.now.max(at);
         self.report_lost_messages();
-        self.check_given_up();
+        self.check_failed_unattempted();
         self.verdict
     }
 
-    /// Facts about one message.
+    /// Processes a fact about a message.
     fn observe_message(&mut self, fact: Fact) {
         match fact {
             Fact::Submitted { message, relay, class, destination, key, deadline, .. } => {
                 let key = if self.keeps_order(class) { key } else { 0 };
                 let submission = (self.now, fact);
-                self.submitted(message, Message::new(relay, class, destination, key, deadline, submission));
+                self.record_submission(
+                    message,
+                    Message::new(relay, class, destination, key, deadline, submission),
+                );
             }
-            Fact::Accepted { message } => self.accepted(message),
-            Fact::Withdrawn { message } => self.withdrawn(message),
+            Fact::Accepted { message } => self.record_acceptance(message),
+            Fact::Withdrawn { message } => self.record_withdrawal(message),
             Fact::AttemptStarted { message, call, relay, endpoint } => {
-                self.attempt_started(message, call, relay, endpoint);
+                self.record_attempt_start(message, call, relay, endpoint);
             }
-            Fact::Executed { message, duplicate, .. } => self.executed(message, duplicate),
-            Fact::DeliveryAnswered { message, .. } => self.delivery_answered(message),
+            Fact::Executed { message, duplicate, .. } => self.record_execution(message, duplicate),
+            Fact::DeliveryAnswered { message, .. } => self.record_delivery_answer(message),
             Fact::AttemptEnded { message, call, relay, outcome } => {
-                self.attempt_ended(message, call, relay, outcome, fact);
+                self.record_attempt_end(message, call, relay, outcome, fact);
             }
             Fact::FinalAnswerGiven { message, relay, answer } => {
-                self.final_answer_given(message, relay, answer);
+                self.record_final_answer(message, relay, answer);
             }
-            Fact::FinalAnswerReceived { message } => self.final_answer_received(message),
+            Fact::FinalAnswerReceived { message } => self.record_final_answer_receipt(message),
             _ => {}
         }
     }
 
-    /// Facts about endpoints, routes and relays.
+    /// Processes a fact about an endpoint, a route or a relay.
     fn observe_fleet(&mut self, at: Time, fact: Fact) {
         match fact {
             Fact::EndpointAdded { endpoint, destination, zone, route, capacity } => {
@@ -104,14 +107,14 @@
                 self.routes.entry(route).or_default().capacity = f64::from(capacity);
             }
             Fact::CallReceived { call, relay, endpoint, weight } => {
-                self.call_received(call, relay, endpoint, f64::from(weight), fact);
+                self.record_call(call, relay, endpoint, f64::from(weight), fact);
             }
             Fact::RetryAfterReceived { relay, endpoint, retry_after } => {
-                self.retry_after_received(relay, endpoint, retry_after);
+                self.record_retry_after(relay, endpoint, retry_after);
             }
             Fact::EndpointListed { relay, endpoint, status } => {
                 let now = self.now;
-                self.relays.entry(relay).or_default().endpoint_listed(endpoint, status, now);
+                self.relays.entry(relay).or_default().record_listing(endpoint, status, now);
             }
             Fact::OutageStarted { route } => self.routes.entry(route).or_default().start_outage(at, fact),
             Fact::OutageEnded { route } => self.routes.entry(route).or_default().end_outage(at, fact),
@@ -119,10 +122,10 @@
                 self.verdict.overloaded_routes += 1;
                 self.routes.entry(route).or_default().history.push_back((at, fact));
             }
-            Fact::RelayDown { relay } => self.relay_down(relay),
-            Fact::RelayUp { relay } => self.relay_up(relay, at),
+            Fact::RelayDown { relay } => self.record_relay_exit(relay),
+            Fact::RelayUp { relay } => self.record_relay_start(relay, at),
             Fact::RelayStalled { relay, until } => {
-                // What falls due meanwhile may be late as after a restart.
+                // Messages due during the stall may be late, as after a restart.
                 let relay = self.relays.entry(relay).or_default();
                 relay.up_since = relay.up_since.max(until);
             }
@@ -135,7 +138,7 @@
         self.verdict.record(Breach { rule: rule.number(), at: self.now, reason, history });
     }
 
-    /// Records a breach that a message shows, with the message's history.
+    /// Records a breach by a message, with the message's history.
     pub(crate) fn report_message(&mut self, message: u64, finding: Finding) {
         let history = self.messages.get(&message).map(|state| state.history.clone()).unwrap_or_default();
         self.report(finding.rule, format!("message {message}: {}", finding.reason), history);
@@ -145,7 +148,7 @@
         self.parameters.classes.get(usize::from(class)).is_some_and(|class| class.in_order)
     }
 
-    fn submitted(&mut self, message: u64, state: Message) {
+    fn record_submission(&mut self, message: u64, state: Message) {
         let (relay, key) = (state.relay, state.key);
         let replaced = self.messages.insert(message, state);
         if replaced.is_some() || self.settled.contains_key(&message) {
@@ -158,24 +161,24 @@
         }
     }
 
-    fn accepted(&mut self, message: u64) {
+    fn record_acceptance(&mut self, message: u64) {
         let Some(state) = self.messages.get_mut(&message) else { return };
         state.accepted = true;
         let due = state.deadline + self.parameters.answer_slack;
         self.due.insert((due, message));
     }
 
-    /// The client will submit its request under another number; what is done under this one counts for nothing.
-    fn withdrawn(&mut self, message: u64) {
+    /// Stops tracking a message whose client will submit its request under another number.
+    fn record_withdrawal(&mut self, message: u64) {
         self.leave_key_queue(message);
         if let Some(state) = self.messages.remove(&message) {
             self.relays.entry(state.relay).or_default().messages.remove(&message);
         }
     }
 
-    fn attempt_started(&mut self, message: u64, call: u64, relay: u32, endpoint: u32) {
+    fn record_attempt_start(&mut self, message: u64, call: u64, relay: u32, endpoint: u32) {
         if !self.messages.contains_key(&message) {
-            self.attempt_of_untracked(message);
+            self.check_untracked_attempt(message);
             return;
         }
         for finding in self.check_attempt(message, relay, endpoint) {
@@ -189,7 +192,7 @@
         self.call_starts.insert(call, now);
     }
 
-    /// What an attempt breaks, before it counts as one of its message's attempts.
+    /// Returns the breaches by an attempt that is not yet recorded for its message.
     fn check_attempt(&mut self, message: u64, relay: u32, number: u32) -> Vec<Finding> {
         let (now, zone) = (self.now, self.zone_of(number));
         let Some(state) = self.messages.get(&message) else { return Vec::new() };
@@ -202,8 +205,8 @@
         let listing = relay.listings.get(&number);
         let grace = self.parameters.drain_grace;
         findings.extend(drain::check_attempt(number, endpoint, listing, state.destination, now, grace));
-        let binding = endpoint.and_then(|endpoint| relay.retry_after.get(&endpoint.route));
-        findings.extend(retry_after::check_attempt(binding, now, self.parameters.retry_after_grace));
+        let active = endpoint.and_then(|endpoint| relay.retry_after.get(&endpoint.route));
+        findings.extend(retry_after::check_attempt(active, now, self.parameters.retry_after_grace));
         if let Some(queue) = relay.key_queues.get(&state.key) {
             findings.extend(key_order::check_attempt(queue, message, now));
         }
@@ -214,36 +217,43 @@
         self.endpoints.get(&endpoint).map_or(0, |endpoint| endpoint.zone)
     }
 
-    fn attempt_ended(&mut self, message: u64, call: u64, relay: u32, outcome: AttemptOutcome, fact: Fact) {
+    fn record_attempt_end(
+        &mut self,
+        message: u64,
+        call: u64,
+        relay: u32,
+        outcome: AttemptOutcome,
+        fact: Fact,
+    ) {
         let Some(endpoint) = self.messages.get(&message).map(|state| state.endpoint_of(call)) else { return };
         if let Some(endpoint) = endpoint {
             if let AttemptOutcome::Rejected { retry_after } = outcome {
-                self.retry_after_received(relay, endpoint, retry_after);
+                self.record_retry_after(relay, endpoint, retry_after);
             }
-            self.note_outage_witness(relay, endpoint, call, outcome, fact);
+            self.record_outage_witness(relay, endpoint, call, outcome, fact);
         }
         if let Some(state) = self.messages.get_mut(&message) {
             state.end_attempt(call, outcome);
-            state.known_done |= outcome == AttemptOutcome::Delivered;
+            state.has_ended |= outcome == AttemptOutcome::Delivered;
         }
         if outcome.may_still_run() {
-            self.hold_off_key(message);
+            self.start_key_hold_off(message);
         }
         if outcome == AttemptOutcome::Delivered {
             self.leave_key_queue(message);
         }
-        self.leave_key_queue_if_over(message);
+        self.leave_key_queue_if_finished(message);
         self.settle(message);
     }
 
-    fn delivery_answered(&mut self, message: u64) {
+    fn record_delivery_answer(&mut self, message: u64) {
         if let Some(state) = self.messages.get_mut(&message) {
             state.delivery_answered = true;
         }
         self.settle(message);
     }
 
-    fn final_answer_received(&mut self, message: u64) {
+    fn record_final_answer_receipt(&mut self, message: u64) {
         if let Some(state) = self.messages.get_mut(&message) {
             state.final_answer_received = true;
         }
@@ -251,7 +261,7 @@
         self.settle(message);
     }
 
-    /// Keeps little of a message to which nothing but a late effect can happen any more.
+    /// Discards most of the state of a message once nothing but a late effect can follow.
     pub(crate) fn settle(&mut self, message: u64) {
         if !self.messages.get(&message).is_some_and(Message::is_settled) {
             return;
@@ -265,10 +275,10 @@
         self.relays.entry(state.relay).or_default().messages.remove(&message);
     }
 
-    /// The relay's calls broke with it: they may have run, and it knows nothing but what its spool tells.
-    fn relay_down(&mut self, relay: u32) {
+    /// Records the exit of a relay's process: its calls are reset and may have run, and only its spool remains.
+    fn record_relay_exit(&mut self, relay: u32) {
         let relay = self.relays.entry(relay).or_default();
-        relay.stopped();
+        relay.record_exit();
         let hold_off_until = self.now + self.parameters.order_hold_off;
         for message in &relay.messages {
             let Some(state) = self.messages.get_mut(message) else { continue };
@@ -277,15 +287,15 @@
             }
             state.reset_attempts();
             if let Some(queue) = relay.key_queues.get_mut(&state.key) {
-                queue.hold_off(*message, hold_off_until);
+                queue.start_hold_off(*message, hold_off_until);
             }
         }
     }
 
-    fn relay_up(&mut self, relay: u32, at: Time) {
+    fn record_relay_start(&mut self, relay: u32, at: Time) {
         let state = self.relays.entry(relay).or_default();
         state.down = false;
         state.up_since = at;
-        self.count_found_untried(relay);
+        self.count_recovered_unattempted(relay);
     }
 }
--- a/crates/invariants/src/fact.rs
+++ b/crates/invariants/src/fact.rs
@@ -1,30 +1,30 @@
-//! The trace that the checker reads: what can be observed of a day from outside the decisions, one fact at a time.
+//! The trace that the checker reads: the facts of a day that can be observed from outside the delivery policy.
 //!
-//! `Display` gives the sentences that reports print. Their wording, and the names that they give to outcomes and
-//! statuses, are part of the report format and older than the names in this code.
+//! `Display` writes the sentences that reports print. Their wording is part of the report format; the names of
+//! outcomes and statuses in them differ from the names in this code.
 
 use std::fmt;
 
-/// Microseconds since the day began.
+/// Microseconds since the start of the day.
 pub type Time = u64;
 
-/// How an attempt ended, as its relay learnt it.
+/// Outcome of an attempt as its relay observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The endpoint answered that the message is delivered.
+    /// The endpoint confirmed the delivery.
     Delivered,
-    /// The endpoint answered with an error; the message may have taken effect.
+    /// The endpoint responded with an error; the message may have taken effect.
     Error,
-    /// The endpoint rejected the message without running it.
+    /// The endpoint rejected the message without processing it.
     Rejected {
-        /// The Retry-After that came with the rejection, 0 for none.
+        /// Retry-After of the rejection; 0 if there was none.
         retry_after: Time,
     },
-    /// No answer came in time.
+    /// No response arrived in time.
     TimedOut,
-    /// The connection was not made.
+    /// The connection could not be opened.
     ConnectFailed,
-    /// The connection broke before the answer came.
+    /// The connection was reset before the response arrived.
     Reset,
     /// The relay cancelled the call.
     Cancelled,
@@ -33,7 +33,7 @@
 }
 
 impl AttemptOutcome {
-    /// True where the outcome proves that the attempt took no effect.
+    /// Returns whether the outcome proves that the attempt took no effect.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -41,7 +41,7 @@
         )
     }
 
-    /// True where the attempt may still be running at the endpoint.
+    /// Returns whether the attempt may still be running at the endpoint.
     pub fn may_still_run(self) -> bool {
         matches!(self, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled)
     }
@@ -62,14 +62,14 @@
     }
 }
 
-/// A final answer other than delivery, as a relay gives it to the client.
+/// Final answer of a relay to its client, other than a delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// The message failed for good.
+    /// The message failed permanently.
     Failed,
-    /// The client is asked to submit the message again later.
+    /// The client should submit the message again later.
     Rejected {
-        /// How long the client is asked to wait, 0 if it was told no time.
+        /// Time that the client should wait; 0 if the answer gave none.
         retry_after: Time,
     },
 }
@@ -83,14 +83,14 @@
     }
 }
 
-/// What the endpoint list tells a relay of an endpoint.
+/// Status of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedStatus {
-    /// It takes calls.
+    /// Accepts calls.
     Ready,
-    /// It is about to leave: no new calls after the drain grace.
+    /// Will be removed soon: no new calls after the drain grace.
     Draining,
-    /// It is no longer on the list.
+    /// No longer on the list.
     Removed,
 }
 
@@ -104,17 +104,18 @@
     }
 }
 
-/// One fact. Messages, calls, endpoints, relays, message classes, destinations and routes are given by number.
+/// An observed event. Messages, calls, endpoints, relays, message classes, destinations and routes are identified
+/// by number.
 #[allow(
     missing_docs,
-    reason = "the fields are the numbers named above; others are explained at their variant"
+    reason = "most fields are the numbers named above; the others are explained at their variant"
 )]
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fact {
-    /// An endpoint exists from now on. `capacity` is the calls a second that its route can serve while warm.
+    /// An endpoint was added. `capacity` is the number of calls per second that its route serves outside slow start.
     EndpointAdded { endpoint: u32, destination: u32, zone: u8, route: u32, capacity: f32 },
-    /// A client submits a message. `request` is the same for all messages of one request that the client submits
-    /// again; key 0 is none.
+    /// A client submitted a message. `request` is the same for all messages with which the client submits one
+    /// request; key 0 means that the message has no key.
     Submitted {
         message: u64,
         request: u64,
@@ -124,44 +125,44 @@
         key: u64,
         deadline: Time,
     },
-    /// The client learnt that the relay accepted the message.
+    /// The client received the relay's acceptance of the message.
     Accepted { message: u64 },
-    /// The client gave up waiting for the acceptance: nothing under this message's number counts.
+    /// The client gave up waiting for the acceptance; later facts about this message number don't count.
     Withdrawn { message: u64 },
-    /// An attempt of a message starts, in a call that may carry several messages.
+    /// An attempt of a message started, in a call that may carry several messages.
     AttemptStarted { message: u64, call: u64, relay: u32, endpoint: u32 },
-    /// The last byte of a call arrived at an endpoint. `weight` is its work, that of a call with one message being 1.
+    /// The last byte of a call arrived at an endpoint. `weight` is its work relative to a call with one message.
     CallReceived { call: u64, relay: u32, endpoint: u32, weight: f32 },
     /// A message took effect, or was dropped as a duplicate.
     Executed { message: u64, call: u64, endpoint: u32, duplicate: bool },
-    /// The endpoint wrote its answer that the message is delivered.
+    /// The endpoint wrote its confirmation of the delivery.
     DeliveryAnswered { message: u64, call: u64 },
-    /// The relay learnt how an attempt ended.
+    /// The relay observed the outcome of an attempt.
     AttemptEnded { message: u64, call: u64, relay: u32, outcome: AttemptOutcome },
-    /// The relay received a Retry-After that did not come as an attempt's outcome.
+    /// The relay received a Retry-After that was not the outcome of an attempt.
     RetryAfterReceived { relay: u32, endpoint: u32, retry_after: Time },
     /// The relay gave a final answer other than delivery.
     FinalAnswerGiven { message: u64, relay: u32, answer: FinalAnswer },
-    /// Whoever the final answer is owed to has it.
+    /// The final answer reached its recipient.
     FinalAnswerReceived { message: u64 },
-    /// The endpoint list told the relay the status of an endpoint.
+    /// The relay received the status of an endpoint from the endpoint list.
     EndpointListed { relay: u32, endpoint: u32, status: ListedStatus },
-    /// A route went down, silent, hung or shut, or fails most calls.
+    /// An outage of a route started: it is down, silent or hung, rejects all calls, or fails most of them.
     OutageStarted { route: u32 },
     /// The route serves calls again and is in slow start.
     OutageEnded { route: u32 },
-    /// A route in slow start broke down under its load.
+    /// A route in slow start failed under its load.
     RouteOverloaded { route: u32 },
-    /// The relay's process ended.
+    /// The relay's process exited.
     RelayDown { relay: u32 },
     /// The relay's process started and has read its spool.
     RelayUp { relay: u32 },
-    /// The relay gets no processor time until then, so it can give no answer.
+    /// The relay gets no processor time until then, so it can't answer.
     RelayStalled { relay: u32, until: Time },
 }
 
 impl Fact {
-    /// The message that the fact is about, if it is about one.
+    /// Returns the number of the message that the fact is about, if any.
     pub fn message(&self) -> Option<u64> {
         match *self {
             Fact::Submitted { message, .. }
--- a/crates/invariants/src/parameters.rs
+++ b/crates/invariants/src/parameters.rs
@@ -1,53 +1,53 @@
-//! What the checker is told of the rules: their thresholds, and what each message class demands.
+//! Parameters of the rules: thresholds, and the requirements of each message class.
 
 use crate::Time;
 
-/// What running a message twice would do.
+/// Effect of processing a message twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running it twice does no harm.
+    /// Processing it twice does no harm.
     Idempotent,
-    /// Repeats are dropped by an idempotency key.
+    /// Endpoints drop repeats by an idempotency key.
     WithKey {
-        /// How long repeats are dropped, from the first attempt that may have run.
+        /// Time for which repeats are dropped, from the first attempt that may have run.
         window: Time,
-        /// True where only the endpoints of one zone recognise a repeat, false where all of the destination do.
+        /// Whether only endpoints of the same zone recognise a repeat, not all endpoints of the destination.
         is_per_zone: bool,
     },
-    /// Running it twice does harm.
+    /// Processing it twice does harm.
     NotIdempotent,
 }
 
-/// What the rules demand for a message class.
+/// Requirements of a message class.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageClass {
-    /// What running a message of this class twice would do.
+    /// Effect of processing a message of this class twice.
     pub idempotency: Idempotency,
-    /// Messages of one key go in the order of their submission.
+    /// Whether messages of one key are sent in the order of their submission.
     pub in_order: bool,
 }
 
-/// The thresholds of the rules.
+/// Thresholds of the rules.
 #[derive(Clone, Debug)]
 pub struct RuleParameters {
-    /// The message classes, by number.
+    /// Message classes, indexed by number.
     pub classes: Vec<MessageClass>,
-    /// How far past its deadline a final answer still counts as in time.
+    /// Time after its deadline within which a final answer still counts as in time.
     pub answer_slack: Time,
-    /// After a restart or a stall a relay may be late with final answers for this long.
+    /// Time after a restart or stall within which late final answers are excused.
     pub restart_slack: Time,
-    /// New attempts to a draining or removed endpoint are allowed for this long.
+    /// Time for which new attempts to a draining or removed endpoint are allowed.
     pub drain_grace: Time,
-    /// The next message of a key waits this long after an attempt that may still be running.
+    /// Wait of the next message of a key after an attempt that may still be running.
     pub order_hold_off: Time,
-    /// The share of a route's capacity that it has just after an outage.
+    /// Share of its capacity that a route has just after an outage.
     pub slow_start_share: f64,
-    /// How long a route takes from the end of an outage to its full capacity.
+    /// Time from the end of an outage until a route has its full capacity.
     pub slow_start_duration: Time,
-    /// The multiple of its capacity at which a route in slow start breaks down.
+    /// Multiple of its current capacity above which a route in slow start fails.
     pub overload_multiple: f64,
-    /// The window over which the load on a route in slow start is counted.
+    /// Window over which the load on a route in slow start is summed.
     pub overload_window: Time,
-    /// Attempts that start this soon after a Retry-After was received are excused.
+    /// Time after receipt of a Retry-After within which attempts may still start.
     pub retry_after_grace: Time,
 }
--- a/crates/invariants/src/rules/drain.rs
+++ b/crates/invariants/src/rules/drain.rs
@@ -1,5 +1,5 @@
-//! Rule 3: nothing is sent to an endpoint that is draining or removed once the grace is over, nor to one that the
-//! list never told of or that belongs to another destination.
+//! Rule 3: nothing is sent to an endpoint that has been draining or removed for longer than the drain grace, to
+//! one that was never listed, or to one of another destination.
 
 use crate::fact::seconds;
 use crate::state::endpoint::Endpoint;
@@ -7,7 +7,7 @@
 use crate::verdict::{Finding, Rule};
 use crate::{ListedStatus, Time};
 
-/// Checks where an attempt goes. `endpoint` and `listing` are what is known of endpoint number `number`.
+/// Checks the endpoint of an attempt. `endpoint` and `listing` belong to endpoint number `number`.
 pub(crate) fn check_attempt(
     number: u32,
     endpoint: Option<&Endpoint>,
@@ -26,7 +26,7 @@
     }
     if listing.status != ListedStatus::Ready && now > listing.since + drain_grace {
         let (status, since) = (listing.status, seconds(now - listing.since));
-        let reason = format!("sent to endpoint {number}, told as {status} {since:.3} s before");
+        let reason = format!("sent to endpoint {number}, listed as {status} for {since:.3} s");
         return Some(Finding::new(Rule::Drain, reason));
     }
     None
--- a/crates/invariants/src/rules/mod.rs
+++ b/crates/invariants/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! The six rules, a module each. A module says what breaks its rule, from the shared state and the facts alone.
+//! The six rules, each in its own module, which finds breaches from the shared state and the facts alone.
 
 pub(crate) mod drain;
 pub(crate) mod final_answer;
--- a/crates/invariants/src/rules/single_effect.rs
+++ b/crates/invariants/src/rules/single_effect.rs
@@ -1,5 +1,5 @@
 //! Rule 2: no message takes effect twice where that does harm, no two of its attempts are in flight at once, and
-//! nothing invites a second effect: no attempt, and no rejection that asks the client to submit it again.
+//! neither an attempt nor a rejection (on which the client submits it again) risks a harmful second effect.
 
 use crate::checker::InvariantChecker;
 use crate::fact::seconds;
@@ -7,7 +7,7 @@
 use crate::verdict::{Finding, Rule};
 use crate::{FinalAnswer, Idempotency, Time};
 
-/// Checks an attempt against the earlier ones of its message. `zone` is that of the endpoint it goes to.
+/// Checks an attempt against the earlier ones of its message. `zone` is the zone of its endpoint.
 pub(crate) fn check_attempt(
     message: &Message,
     idempotency: Idempotency,
@@ -16,54 +16,53 @@
 ) -> Vec<Finding> {
     let mut findings = Vec::new();
     if message.in_flight() {
-        findings.push(Finding::new(Rule::SingleEffect, "a second leg goes out beside the first"));
+        findings
+            .push(Finding::new(Rule::SingleEffect, "a second attempt started while another is in flight"));
     }
-    if let Some(reason) = harm_of_retry(message, idempotency, zone, now) {
+    if let Some(reason) = retry_harm(message, idempotency, zone, now) {
         findings.push(Finding::new(Rule::SingleEffect, reason));
     }
     findings
 }
 
-/// Why another attempt could take effect a second time.
-fn harm_of_retry(message: &Message, idempotency: Idempotency, zone: u8, now: Time) -> Option<String> {
+/// Returns the reason why another attempt could do harm by a second effect.
+fn retry_harm(message: &Message, idempotency: Idempotency, zone: u8, now: Time) -> Option<String> {
     let first_run = message.possible_run()?;
     match idempotency {
         Idempotency::Idempotent => None,
-        Idempotency::NotIdempotent => {
-            Some("sent again, though it may have run and may not be repeated".into())
-        }
+        Idempotency::NotIdempotent => Some("sent again, though it may have run and is not idempotent".into()),
         Idempotency::WithKey { window, .. } if now > first_run.at + window => {
             Some(format!("sent again {:.3} s after it may have run", seconds(now - first_run.at)))
         }
         Idempotency::WithKey { is_per_zone, .. } => {
-            let unknown_there = is_per_zone && first_run.zone != zone;
-            unknown_there.then(|| "sent again to endpoints that can't know it".into())
+            let is_unrecognised = is_per_zone && first_run.zone != zone;
+            is_unrecognised.then(|| "sent again to a zone that does not recognise the repeat".into())
         }
     }
 }
 
-/// Checks a final answer: a rejection asks for the message to come again, perhaps to other endpoints.
+/// Checks a final answer: after a rejection the client submits the message again, perhaps to other endpoints.
 pub(crate) fn check_final_answer(
     message: &Message,
     idempotency: Idempotency,
     answer: FinalAnswer,
 ) -> Option<Finding> {
-    let may_come_again = match idempotency {
+    let is_resubmission_safe = match idempotency {
         Idempotency::Idempotent | Idempotency::WithKey { is_per_zone: false, .. } => true,
         Idempotency::WithKey { is_per_zone: true, .. } | Idempotency::NotIdempotent => {
             message.possible_run().is_none()
         }
     };
-    if may_come_again || answer == FinalAnswer::Failed {
+    if is_resubmission_safe || answer == FinalAnswer::Failed {
         return None;
     }
-    let reason = "pushed back, though it may have run and coming again would do harm";
+    let reason = "rejected, though it may have run and a repeat would do harm";
     Some(Finding::new(Rule::SingleEffect, reason))
 }
 
 impl InvariantChecker {
-    /// A message ran at an endpoint, which may be long after it was settled.
-    pub(crate) fn executed(&mut self, message: u64, duplicate: bool) {
+    /// Records that an endpoint processed a message, perhaps long after it was settled.
+    pub(crate) fn record_execution(&mut self, message: u64, duplicate: bool) {
         if duplicate {
             return;
         }
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Counts an effect of a message that is known, and gives back its class and all its effects.
+    /// Counts an effect of a known message; returns its class and its number of effects.
     fn count_effect(&mut self, message: u64) -> Option<SettledMessage> {
         if let Some(state) = self.messages.get_mut(&message) {
             state.effects += 1;
--- a/crates/invariants/src/rules/slow_start.rs
+++ b/crates/invariants/src/rules/slow_start.rs
@@ -1,4 +1,4 @@
-//! Rule 4: relays that saw a route's outage do not overload it while it is in slow start.
+//! Rule 4: relays that saw a route's outage do not overload it during its slow start.
 
 use crate::checker::InvariantChecker;
 use crate::fact::seconds;
@@ -6,27 +6,27 @@
 use crate::verdict::Rule;
 use crate::{AttemptOutcome, Fact, RuleParameters};
 
-/// The share of an overload that must come from relays that saw the outage for the rule to be broken; the rest
-/// could not know better.
+/// Minimum share of an overload from relays that saw the outage that breaks the rule. Other relays can't know of
+/// the slow start.
 const MIN_WITNESS_SHARE: f64 = 2.0 / 3.0;
 
-/// How far the load on a route in slow start may exceed its budget by chance: the count of independent calls has
-/// a standard deviation of its square root. One such deviation is allowed, and one call at least.
+/// Returns by how much the load on a route in slow start may exceed its budget by chance. The number of independent
+/// calls has a standard deviation of its square root; one deviation is allowed, and at least one call.
 pub fn overload_slack(budget: f64) -> f64 {
     budget.max(1.0).sqrt()
 }
 
-/// The work that a route may get within the overload window, `progress` (0 to 1) into its slow start.
-fn budget(route: &Route, progress: f64, parameters: &RuleParameters) -> f64 {
+/// Returns the load allowed on a route within the overload window at `progress` (0 to 1) of its slow start.
+fn load_budget(route: &Route, progress: f64, parameters: &RuleParameters) -> f64 {
     let share = parameters.slow_start_share + (1.0 - parameters.slow_start_share) * progress;
     let capacity = route.capacity * share;
-    let takes = parameters.overload_multiple * capacity * parameters.overload_window as f64 / 1e6;
-    takes + overload_slack(takes)
+    let budget = parameters.overload_multiple * capacity * parameters.overload_window as f64 / 1e6;
+    budget + overload_slack(budget)
 }
 
 impl InvariantChecker {
-    /// Notes a relay that learnt of a failure while the route was out.
-    pub(crate) fn note_outage_witness(
+    /// Records that a relay observed a failure if the call met an outage of its route.
+    pub(crate) fn record_outage_witness(
         &mut self,
         relay: u32,
         endpoint: u32,
@@ -34,7 +34,7 @@
         outcome: AttemptOutcome,
         fact: Fact,
     ) {
-        // What the relay ended by itself tells it nothing of the route.
+        // Attempts that the relay itself ended say nothing about the route.
         if matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::NotSent | AttemptOutcome::Cancelled)
         {
             return;
@@ -49,8 +49,8 @@
         }
     }
 
-    /// A call arrived at an endpoint: weighs the load on its route if that is in slow start.
-    pub(crate) fn call_received(&mut self, call: u64, relay: u32, endpoint: u32, weight: f64, fact: Fact) {
+    /// Records a call that arrived at an endpoint and checks the load on its route during slow start.
+    pub(crate) fn record_call(&mut self, call: u64, relay: u32, endpoint: u32, weight: f64, fact: Fact) {
         let now = self.now;
         let sent_at = self.call_starts.get(&call).copied().unwrap_or(now);
         let Some(route_number) = self.endpoints.get(&endpoint).map(|endpoint| endpoint.route) else { return };
@@ -61,14 +61,14 @@
             route.slow_start_since = None;
             return;
         }
-        let from_witness = route.witnesses.get(&relay).is_some_and(|learnt_at| *learnt_at < sent_at);
+        let from_witness = route.witnesses.get(&relay).is_some_and(|observed_at| *observed_at < sent_at);
         let window = self.parameters.overload_window;
         route.add_arrival(Arrival { at: now, weight, from_witness }, window, fact);
-        let budget = budget(route, progress, &self.parameters);
+        let budget = load_budget(route, progress, &self.parameters);
         self.check_load(route_number, budget);
     }
 
-    /// Reports a route whose load exceeds its budget, once for each slow start.
+    /// Reports a route whose load exceeds its budget, at most once in each slow start.
     fn check_load(&mut self, route_number: u32, budget: f64) {
         let Some(route) = self.routes.get_mut(&route_number) else { return };
         let load: f64 = route.arrivals.iter().map(|arrival| arrival.weight).sum();
@@ -80,7 +80,7 @@
         route.overload_reported = true;
         let history = route.history.iter().copied().collect();
         let reason = format!(
-            "route {route_number}: {load:.1} calls in {:.1} s on a cold route that takes {budget:.1}, \
+            "route {route_number}: {load:.1} calls in {:.1} s during slow start exceed the limit of {budget:.1}, \
              {witness_load:.1} of them from relays that saw its outage",
             seconds(self.parameters.overload_window)
         );
--- a/crates/invariants/src/state/endpoint.rs
+++ b/crates/invariants/src/state/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints, as they were set up.
+//! Endpoints.
 
 /// An endpoint of a destination.
 pub(crate) struct Endpoint {
--- a/crates/invariants/src/state/mod.rs
+++ b/crates/invariants/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the rules share: the state of messages, endpoints, routes and relays as the facts tell it. No rule is
-//! decided here.
+//! State that the rules share: messages, endpoints, routes and relays as the facts describe them. No rule is
+//! checked here.
 
 pub(crate) mod endpoint;
 pub(crate) mod message;
--- a/crates/invariants/src/state/relay.rs
+++ b/crates/invariants/src/state/relay.rs
@@ -1,59 +1,60 @@
-//! A relay as seen from outside: what the endpoint list told it, what it must wait for, and its per-key queues.
+//! State of a relay as observed from outside: its endpoint list, Retry-After holds and queues by key.
 
 use crate::{ListedStatus, Time};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 
-/// What the endpoint list last told of an endpoint.
+/// Latest entry of an endpoint in the list that a relay received.
 pub(crate) struct Listing {
     pub(crate) status: ListedStatus,
-    /// Since when it has been ready, or not ready in one way or another.
+    /// Start of the current period as ready or as not ready; a change from draining to removed keeps it.
     pub(crate) since: Time,
 }
 
-/// A Retry-After for a route.
+/// Retry-After of a route.
 #[derive(Clone, Copy)]
 pub(crate) struct RetryAfter {
     pub(crate) received_at: Time,
     pub(crate) until: Time,
 }
 
-/// The messages of one key at one relay, oldest first.
+/// Messages of one key at one relay, oldest first.
 #[derive(Default)]
 pub(crate) struct KeyQueue {
     pub(crate) messages: VecDeque<u64>,
-    /// Until then only `held_by` may be sent: an attempt of it may still be running.
+    /// End of the hold-off, during which only `hold_off_message` may be sent.
     pub(crate) hold_off_until: Time,
-    pub(crate) held_by: u64,
+    /// Message with an attempt that may still be running.
+    pub(crate) hold_off_message: u64,
 }
 
 impl KeyQueue {
-    /// Lets only this message be sent until then.
-    pub(crate) fn hold_off(&mut self, message: u64, until: Time) {
+    /// Starts a hold-off, during which no other message of the key may be sent.
+    pub(crate) fn start_hold_off(&mut self, message: u64, until: Time) {
         self.hold_off_until = until;
-        self.held_by = message;
+        self.hold_off_message = message;
     }
 }
 
-/// A relay.
+/// State of a relay.
 #[derive(Default)]
 pub(crate) struct Relay {
     pub(crate) down: bool,
-    /// When it last started again or goes on after a stall; 0 if it never stopped.
+    /// Time of the latest restart or end of a stall; 0 if there was none.
     pub(crate) up_since: Time,
-    /// Its messages that are not settled.
+    /// Messages that are not settled.
     pub(crate) messages: BTreeSet<u64>,
-    /// By endpoint.
+    /// Listings by endpoint.
     pub(crate) listings: FxHashMap<u32, Listing>,
-    /// By route.
+    /// Active Retry-After by route.
     pub(crate) retry_after: FxHashMap<u32, RetryAfter>,
-    /// By key.
+    /// Queues by ordering key.
     pub(crate) key_queues: FxHashMap<u64, KeyQueue>,
 }
 
 impl Relay {
-    /// Notes what the list told of an endpoint. The time of the first word that it is not ready counts.
-    pub(crate) fn endpoint_listed(&mut self, endpoint: u32, status: ListedStatus, now: Time) {
+    /// Records the listed status of an endpoint. Consecutive statuses other than ready keep the time of the first.
+    pub(crate) fn record_listing(&mut self, endpoint: u32, status: ListedStatus, now: Time) {
         let previous = self.listings.get(&endpoint);
         let not_ready_since =
             previous.filter(|listing| listing.status != ListedStatus::Ready).map(|listing| listing.since);
@@ -61,8 +62,8 @@
         self.listings.insert(endpoint, Listing { status, since });
     }
 
-    /// The process ended: what it had learnt is gone.
-    pub(crate) fn stopped(&mut self) {
+    /// Records the exit of the process, which loses its endpoint list and Retry-After holds.
+    pub(crate) fn record_exit(&mut self) {
         self.down = true;
         self.listings.clear();
         self.retry_after.clear();
--- a/crates/invariants/src/state/route.rs
+++ b/crates/invariants/src/state/route.rs
@@ -1,37 +1,37 @@
-//! A route: its capacity, its outages, and the load that it gets in slow start.
+//! State of a route: its capacity, its outages and its load during slow start.
 
 use crate::{Fact, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Facts that a route's history holds at most; a busy slow start would grow it without bound.
+/// Maximum number of facts in a route's history, which a busy slow start would grow without bound.
 const MAX_HISTORY: usize = 400;
 
-/// A call that arrived in slow start.
+/// Call that arrived during slow start.
 pub(crate) struct Arrival {
     pub(crate) at: Time,
     pub(crate) weight: f64,
-    /// Its relay had learnt of a failure during the outage before it sent the call.
+    /// Whether its relay had observed a failure of the outage before it sent the call.
     pub(crate) from_witness: bool,
 }
 
-/// A route.
+/// State of a route.
 #[derive(Default)]
 pub(crate) struct Route {
-    /// Calls a second that it serves while warm.
+    /// Calls per second that it serves outside slow start.
     pub(crate) capacity: f64,
     pub(crate) in_outage: bool,
-    /// When its outage ended; none while it is out or warm.
+    /// End of the latest outage; `None` outside slow start.
     pub(crate) slow_start_since: Option<Time>,
-    /// Relays that learnt of a failure there during the outage, and when.
+    /// Relays that observed a failure of the outage, with the time of the first.
     pub(crate) witnesses: BTreeMap<u32, Time>,
     pub(crate) arrivals: VecDeque<Arrival>,
     pub(crate) history: VecDeque<(Time, Fact)>,
-    /// The overload of this slow start is reported.
+    /// Whether the overload of this slow start has been reported.
     pub(crate) overload_reported: bool,
 }
 
 impl Route {
-    /// An outage starts: what was known of the last one is over.
+    /// Starts an outage and discards the state of the previous one.
     pub(crate) fn start_outage(&mut self, at: Time, fact: Fact) {
         self.in_outage = true;
         self.slow_start_since = None;
@@ -42,25 +42,25 @@
         self.history.push_back((at, fact));
     }
 
-    /// The outage is over, and slow start begins.
+    /// Ends the outage and starts slow start.
     pub(crate) fn end_outage(&mut self, at: Time, fact: Fact) {
         self.in_outage = false;
         self.slow_start_since = Some(at);
         self.history.push_back((at, fact));
     }
 
-    /// True where a call that was sent then met the outage.
+    /// Returns whether a call sent at the given time encountered the outage.
     pub(crate) fn was_out(&self, sent_at: Time) -> bool {
         self.in_outage || self.slow_start_since.is_some_and(|since| sent_at < since)
     }
 
-    /// Notes that a relay learnt of a failure during the outage.
+    /// Records that a relay observed a failure of the outage.
     pub(crate) fn add_witness(&mut self, relay: u32, now: Time, fact: Fact) {
         self.witnesses.entry(relay).or_insert(now);
         self.history.push_back((now, fact));
     }
 
-    /// Notes a call that arrived in slow start, and forgets those that arrived before the window.
+    /// Records a call that arrived in slow start and discards arrivals before the window.
     pub(crate) fn add_arrival(&mut self, arrival: Arrival, window: Time, fact: Fact) {
         let now = arrival.at;
         self.arrivals.push_back(arrival);
--- a/crates/invariants/src/verdict.rs
+++ b/crates/invariants/src/verdict.rs
@@ -1,15 +1,15 @@
-//! What the checker found: breaches with the history that shows them, and counts.
+//! Results of the checker: breaches with their histories, and counts.
 
 use crate::{Fact, Time};
 
-/// Breaches that are kept with their histories; further ones are only counted, so that a bad day needs no
-/// unbounded memory.
-pub(crate) const MAX_KEPT_BREACHES: usize = 50;
+/// Maximum number of breaches stored with their histories. Further ones are only counted, which bounds the memory
+/// of a day with many breaches.
+pub(crate) const MAX_STORED_BREACHES: usize = 50;
 
 /// Facts with their times, oldest first.
 pub(crate) type History = Vec<(Time, Fact)>;
 
-/// The six rules, by the numbers that reports give them.
+/// The six rules with their numbers in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Rule {
     FinalAnswer = 1,
@@ -21,13 +21,13 @@
 }
 
 impl Rule {
-    /// The number, 1 to 6.
+    /// Returns the number, 1 to 6.
     pub(crate) fn number(self) -> u8 {
         self as u8
     }
 }
 
-/// A rule that something broke, and how.
+/// Broken rule and the reason, before time and history are added.
 pub(crate) struct Finding {
     pub(crate) rule: Rule,
     pub(crate) reason: String,
@@ -39,46 +39,46 @@
     }
 }
 
-/// A rule that was broken, how, and what led to it.
+/// Breach of a rule with its reason and history.
 #[derive(Clone, Debug)]
 pub struct Breach {
-    /// The rule's number, 1 to 6.
+    /// Number of the rule, 1 to 6.
     pub rule: u8,
-    /// When it was broken.
+    /// Time of the breach.
     pub at: Time,
-    /// How it was broken, in a sentence.
+    /// Description of the breach in a sentence.
     pub reason: String,
-    /// The facts about the message, or the latest ones of the route, oldest first.
+    /// Facts about the message, or the latest facts about the route, oldest first.
     pub history: Vec<(Time, Fact)>,
 }
 
-/// What a day came to.
+/// Result of checking a day.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// The first breaches, in order.
+    /// First breaches, in order of time.
     pub breaches: Vec<Breach>,
-    /// How often each rule was broken, rule 1 first.
+    /// Number of breaches of each rule, rule 1 first.
     pub breach_counts: [u64; 6],
-    /// Messages that took effect more than once where that does no harm.
+    /// Number of idempotent messages that took effect more than once.
     pub harmless_duplicates: u64,
-    /// Routes that broke down in slow start, whoever caused it.
+    /// Number of route failures in slow start, whichever relays caused them.
     pub overloaded_routes: u64,
-    /// Messages that restarts found accepted and untried.
+    /// Number of messages that a restarted relay recovered as accepted and unattempted.
     pub recovered_unattempted: u64,
-    /// Those of them that were given a final answer without an attempt though their time was not up.
+    /// Number of these messages that got a final answer well before their deadline and without an attempt.
     pub failed_unattempted: u64,
 }
 
 impl Verdict {
-    /// True where no rule was broken.
+    /// Returns whether no rule was broken.
     pub fn has_no_breaches(&self) -> bool {
         self.breach_counts.iter().all(|count| *count == 0)
     }
 
-    /// Counts a breach, and keeps it while there is room.
+    /// Counts a breach and stores it while there is room.
     pub(crate) fn record(&mut self, breach: Breach) {
         self.breach_counts[usize::from(breach.rule) - 1] += 1;
-        if self.breaches.len() < MAX_KEPT_BREACHES {
+        if self.breaches.len() < MAX_STORED_BREACHES {
             self.breaches.push(breach);
         }
     }
