--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks that a scenario fits together, beyond what each field can tell alone.
+//! Checks that the fields of a scenario are consistent with each other.
 
 use crate::error::{Inconsistency, RecordingInconsistency, ScenarioError};
 use crate::{
@@ -7,32 +7,32 @@
 };
 use std::path::Path;
 
-/// Zones are numbered by a byte, with room to spare for ids that mean none.
+/// Maximum number of zones. Zone numbers fit a byte, with values left for reserved ids.
 const MAX_ZONES: usize = 200;
 
-/// Names with a meaning of their own where a trouble names whom it strikes.
+/// Names with a special meaning among the targets of a fault.
 const RESERVED_GROUP_NAMES: [&str; 3] = ["", "relay", "relays"];
 
-/// A reason to refuse a scenario, and the byte of its text to point at.
-pub(crate) struct Complaint {
+/// Inconsistency with its byte position in the text of the scenario.
+pub(crate) struct LocatedError {
     pub(crate) byte: usize,
     pub(crate) reason: Inconsistency,
 }
 
-impl Complaint {
-    fn at(byte: usize, reason: Inconsistency) -> Complaint {
-        Complaint { byte, reason }
+impl LocatedError {
+    fn at(byte: usize, reason: Inconsistency) -> LocatedError {
+        LocatedError { byte, reason }
     }
 
-    /// A complaint about the scenario as a whole.
-    fn about_all(reason: Inconsistency) -> Complaint {
-        Complaint { byte: 0, reason }
+    /// Creates an error about the scenario as a whole.
+    fn without_position(reason: Inconsistency) -> LocatedError {
+        LocatedError { byte: 0, reason }
     }
 }
 
-/// Checks a scenario that was read.
-pub(crate) fn check(scenario: &Scenario) -> Result<(), Complaint> {
-    check_world(scenario)?;
+/// Checks a scenario after parsing.
+pub(crate) fn check(scenario: &Scenario) -> Result<(), LocatedError> {
+    check_structure(scenario)?;
     for class in &scenario.classes {
         check_class(class)?;
     }
@@ -50,129 +50,129 @@
     Ok(())
 }
 
-fn check_world(scenario: &Scenario) -> Result<(), Complaint> {
+fn check_structure(scenario: &Scenario) -> Result<(), LocatedError> {
     let length_byte = scenario.length.span().start;
     if scenario.format != FORMAT {
-        return Err(Complaint::about_all(Inconsistency::UnknownFormat { found: scenario.format }));
+        return Err(LocatedError::without_position(Inconsistency::UnknownFormat { found: scenario.format }));
     }
     if scenario.length.as_ref().us() == 0 {
-        return Err(Complaint::at(length_byte, Inconsistency::NoLength));
+        return Err(LocatedError::at(length_byte, Inconsistency::ZeroLength));
     }
     if scenario.zones.is_empty() || scenario.zones.len() > MAX_ZONES {
-        return Err(Complaint::about_all(Inconsistency::ZoneCount { count: scenario.zones.len() }));
+        return Err(LocatedError::without_position(Inconsistency::ZoneCount { count: scenario.zones.len() }));
     }
     if scenario.classes.is_empty() || scenario.groups.is_empty() {
-        return Err(Complaint::about_all(Inconsistency::NothingToSend));
+        return Err(LocatedError::without_position(Inconsistency::MissingClassOrGroup));
     }
     let class_names = scenario.classes.iter().map(|class| (length_byte, class.name.as_str()));
-    check_names_differ("lane", class_names)?;
+    check_unique_names("lane", class_names)?;
     let group_names =
         scenario.groups.iter().map(|group| (group.name.span().start, group.name.as_ref().as_str()));
-    check_names_differ("destinations", group_names)
+    check_unique_names("destinations", group_names)
 }
 
-fn check_names_differ<'a>(
+fn check_unique_names<'a>(
     kind: &'static str,
     names: impl Iterator<Item = (usize, &'a str)>,
-) -> Result<(), Complaint> {
+) -> Result<(), LocatedError> {
     let mut seen = std::collections::BTreeSet::new();
     for (byte, name) in names {
         if !seen.insert(name) {
-            return Err(Complaint::at(byte, Inconsistency::DuplicateName { kind, name: name.into() }));
+            return Err(LocatedError::at(byte, Inconsistency::DuplicateName { kind, name: name.into() }));
         }
     }
     Ok(())
 }
 
-fn check_class(class: &MessageClass) -> Result<(), Complaint> {
+fn check_class(class: &MessageClass) -> Result<(), LocatedError> {
     let byte = class.deadline.span().start;
     let name = || class.name.clone();
     if class.deadline.as_ref().0 <= class.latency_objective.0 {
-        return Err(Complaint::at(byte, Inconsistency::DeadlineBeforeObjective { class: name() }));
+        return Err(LocatedError::at(byte, Inconsistency::DeadlineBeforeObjective { class: name() }));
     }
-    let keyed = class.idempotency == Idempotency::WithKey;
-    if keyed && class.deduplication_window.is_none() {
-        return Err(Complaint::at(byte, Inconsistency::MissingDeduplicationWindow { class: name() }));
+    let is_keyed = class.idempotency == Idempotency::WithKey;
+    if is_keyed && class.deduplication_window.is_none() {
+        return Err(LocatedError::at(byte, Inconsistency::MissingDeduplicationWindow { class: name() }));
     }
-    if !keyed && class.deduplication_window.is_some() {
-        return Err(Complaint::at(byte, Inconsistency::NeedlessDeduplicationWindow { class: name() }));
+    if !is_keyed && class.deduplication_window.is_some() {
+        return Err(LocatedError::at(byte, Inconsistency::UnexpectedDeduplicationWindow { class: name() }));
     }
     if let Some(scope) = &class.deduplication_scope
-        && !keyed
+        && !is_keyed
     {
         let byte = scope.span().start;
-        return Err(Complaint::at(byte, Inconsistency::NeedlessDeduplicationScope { class: name() }));
+        return Err(LocatedError::at(byte, Inconsistency::UnexpectedDeduplicationScope { class: name() }));
     }
     Ok(())
 }
 
-fn check_group_name(group: &Group) -> Result<(), Complaint> {
+fn check_group_name(group: &Group) -> Result<(), LocatedError> {
     let name = group.name.as_ref();
     if RESERVED_GROUP_NAMES.contains(&name.as_str()) || name.contains(['/', '#', '*']) {
         let byte = group.name.span().start;
-        return Err(Complaint::at(byte, Inconsistency::ImpossibleGroupName { name: name.clone() }));
+        return Err(LocatedError::at(byte, Inconsistency::InvalidGroupName { name: name.clone() }));
     }
     Ok(())
 }
 
-fn check_intervals(scenario: &Scenario) -> Result<(), Complaint> {
+fn check_intervals(scenario: &Scenario) -> Result<(), LocatedError> {
     if scenario.clients.submit_timeout.us() == 0 || scenario.relays.min_step_interval.us() == 0 {
-        return Err(Complaint::about_all(Inconsistency::ZeroInterval));
+        return Err(LocatedError::without_position(Inconsistency::ZeroInterval));
     }
     if scenario.relays.discovery.is_some() && !scenario.relays.watch {
-        return Err(Complaint::about_all(Inconsistency::DiscoveryWithoutWatch));
+        return Err(LocatedError::without_position(Inconsistency::DiscoveryWithoutWatch));
     }
     Ok(())
 }
 
-/// A period must begin within the day, and end after its beginning. `subject` is what the complaint is about.
+/// Checks that a period starts within the day and ends after its start. `subject` names it in errors.
 fn check_period(
     byte: usize,
     subject: &str,
     from: u64,
     to: u64,
     scenario: &Scenario,
-) -> Result<(), Complaint> {
+) -> Result<(), LocatedError> {
     let length = *scenario.length.as_ref();
     let subject = subject.to_string();
     if from >= to {
-        return Err(Complaint::at(byte, Inconsistency::EndsBeforeStart { subject }));
+        return Err(LocatedError::at(byte, Inconsistency::EndsBeforeStart { subject }));
     }
     if from >= length.us() {
-        return Err(Complaint::at(byte, Inconsistency::StartsAfterDay { subject, length }));
+        return Err(LocatedError::at(byte, Inconsistency::StartsAfterDay { subject, length }));
     }
     Ok(())
 }
 
-fn check_fault(byte: usize, fault: &ScriptedFault, scenario: &Scenario) -> Result<(), Complaint> {
+fn check_fault(byte: usize, fault: &ScriptedFault, scenario: &Scenario) -> Result<(), LocatedError> {
     let kind = fault.kind;
     let required = kind.required_fields();
     check_period(byte, &kind.to_string(), fault.from.us(), fault.to.us(), scenario)?;
     check_targets(byte, fault, scenario)?;
-    check_fields(fault, required).map_err(|reason| Complaint::at(byte, reason))?;
-    check_level(fault, required).map_err(|reason| Complaint::at(byte, reason))?;
+    check_fields(fault, required).map_err(|reason| LocatedError::at(byte, reason))?;
+    check_level(fault, required).map_err(|reason| LocatedError::at(byte, reason))?;
     if let (Some(every), Some(lasts)) = (fault.repeat_interval, fault.occurrence_duration)
         && (lasts.us() == 0 || lasts.us() >= every.us())
     {
-        return Err(Complaint::at(byte, Inconsistency::ImpossibleDuration { kind }));
+        return Err(LocatedError::at(byte, Inconsistency::InvalidDuration { kind }));
     }
     if let Some(class) = &fault.class
         && !has_class(scenario, class)
     {
-        return Err(Complaint::at(byte, Inconsistency::UnknownClass { kind, class: class.clone() }));
+        return Err(LocatedError::at(byte, Inconsistency::UnknownClass { kind, class: class.clone() }));
     }
     for text in &fault.cut_from {
         if read_target(byte, text, scenario)?.kind() == TargetKind::Relays {
-            return Err(Complaint::at(byte, Inconsistency::CutFromRelays { kind, text: text.clone() }));
+            return Err(LocatedError::at(byte, Inconsistency::CutFromRelays { kind, text: text.clone() }));
         }
     }
     Ok(())
 }
 
-fn check_targets(byte: usize, fault: &ScriptedFault, scenario: &Scenario) -> Result<(), Complaint> {
+fn check_targets(byte: usize, fault: &ScriptedFault, scenario: &Scenario) -> Result<(), LocatedError> {
     let kind = fault.kind;
     if fault.targets.is_empty() {
-        return Err(Complaint::at(byte, Inconsistency::NoTarget { kind }));
+        return Err(LocatedError::at(byte, Inconsistency::NoTarget { kind }));
     }
     for text in &fault.targets {
         let target = read_target(byte, text, scenario)?;
@@ -182,13 +182,13 @@
                 TargetKind::Relays => "relays",
             };
             let text = text.clone();
-            return Err(Complaint::at(byte, Inconsistency::WrongTarget { kind, expected, text }));
+            return Err(LocatedError::at(byte, Inconsistency::WrongTarget { kind, expected, text }));
         }
     }
     Ok(())
 }
 
-/// A trouble must have the fields that its kind needs, and no others.
+/// Checks that a fault has the fields that its kind requires, and no others.
 fn check_fields(fault: &ScriptedFault, required: RequiredFields) -> Result<(), Inconsistency> {
     let kind: ScriptedFaultKind = fault.kind;
     let fields = [
@@ -203,12 +203,12 @@
         ("lane", required.class, fault.class.is_some()),
         ("off", required.cut_from, !fault.cut_from.is_empty()),
     ];
-    for (field, needed, given) in fields {
-        if needed && !given {
+    for (field, is_required, is_given) in fields {
+        if is_required && !is_given {
             return Err(Inconsistency::MissingField { kind, field });
         }
-        if given && !needed {
-            return Err(Inconsistency::NeedlessField { kind, field });
+        if is_given && !is_required {
+            return Err(Inconsistency::UnexpectedField { kind, field });
         }
     }
     Ok(())
@@ -218,7 +218,7 @@
     let kind = fault.kind;
     let Some(level) = fault.level.map(|level| level.0) else { return Ok(()) };
     if required.level_fraction && level > 1.0 {
-        return Err(Inconsistency::LevelNoShare { kind, level });
+        return Err(Inconsistency::LevelOutOfRange { kind, level });
     }
     if level == 0.0 {
         return Err(Inconsistency::ZeroLevel { kind });
@@ -226,17 +226,17 @@
     Ok(())
 }
 
-/// Reads whom a text names; refuses a target that the scenario does not have.
-fn read_target(byte: usize, text: &str, scenario: &Scenario) -> Result<FaultTarget, Complaint> {
-    let complain = |reason| Complaint::at(byte, reason);
-    let target = FaultTarget::parse(text).map_err(|error| complain(error.into()))?;
+/// Parses a target and checks that the scenario has it.
+fn read_target(byte: usize, text: &str, scenario: &Scenario) -> Result<FaultTarget, LocatedError> {
+    let locate = |reason| LocatedError::at(byte, reason);
+    let target = FaultTarget::parse(text).map_err(|error| locate(error.into()))?;
     match &target {
         FaultTarget::Group(name, destination, endpoint) => {
-            check_group_target(text, name, *destination, *endpoint, scenario).map_err(complain)?;
+            check_group_target(text, name, *destination, *endpoint, scenario).map_err(locate)?;
         }
         FaultTarget::Relay(number) if *number >= scenario.relays.count.get() => {
             let count = scenario.relays.count;
-            return Err(complain(Inconsistency::UnknownRelay { text: text.into(), count }));
+            return Err(locate(Inconsistency::UnknownRelay { text: text.into(), count }));
         }
         _ => {}
     }
@@ -275,7 +275,7 @@
     scenario.classes.iter().any(|class| class.name == name)
 }
 
-/// Reads a recorded day; every line must fit the scenario.
+/// Reads a recorded day and checks each line against the scenario.
 pub(crate) fn read_recording(
     path: &Path,
     scenario: &Scenario,
@@ -285,7 +285,7 @@
         .map_err(|source| ScenarioError::OpenRecording { file: file.clone(), source })?;
     let mut rows: Vec<RecordedMessage> = Vec::new();
     for (index, row) in reader.deserialize::<RecordedMessage>().enumerate() {
-        // The head line is the first, and lines count from 1.
+        // Lines count from 1, and the first is the header.
         let line = index + 2;
         let row = row.map_err(|source| ScenarioError::ParseRecording { file: file.clone(), line, source })?;
         let earliest = rows.last().map_or(0.0, |previous| previous.seconds);
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -1,23 +1,23 @@
-//! The clients.
+//! Clients of the modelled fleet.
 
 use crate::defaults::milliseconds;
 use crate::{Share, Span};
 use serde::{Deserialize, Serialize};
 
-/// How clients submit messages.
+/// Behaviour of clients when they submit messages.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// The share of rejected requests that their clients submit again.
+    /// Share of rejected requests that their clients submit again.
     #[serde(rename = "again")]
     pub retry_share: Share,
-    /// How long a client waits that was told no Retry-After.
+    /// Delay before a client submits again after a rejection without Retry-After.
     #[serde(rename = "pause")]
     pub default_retry_delay: Span,
-    /// How long a client waits to hear that its message was accepted.
+    /// Time for which a client waits for the acceptance of its message.
     #[serde(rename = "patience")]
     pub submit_timeout: Span,
-    /// How long clients are still sent to a relay that is down.
+    /// Time for which clients are still directed to a relay that is down.
     #[serde(rename = "front_notices")]
     pub failover_delay: Span,
 }
--- a/crates/scenario/src/defaults.rs
+++ b/crates/scenario/src/defaults.rs
@@ -1,4 +1,4 @@
-//! Defaults that several parts of a scenario share.
+//! Default values that several parts of a scenario share.
 
 use crate::{Rate, Span};
 use std::num::NonZeroU32;
--- a/crates/scenario/src/destinations.rs
+++ b/crates/scenario/src/destinations.rs
@@ -1,4 +1,4 @@
-//! Groups of destinations that are alike.
+//! Groups of destinations with the same settings.
 
 use crate::defaults::{non_zero, one, single};
 use crate::{Amount, Limit, Rate, Share, Span};
@@ -6,68 +6,69 @@
 use std::num::NonZeroU32;
 use toml::Spanned;
 
-/// Destinations that are alike.
+/// Group of destinations with the same settings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// What files and reports call it.
+    /// Name in files and reports.
     pub name: Spanned<String>,
-    /// How many destinations it has.
+    /// Number of destinations.
     #[serde(default = "single")]
     pub count: NonZeroU32,
-    /// Endpoints of each, dealt out over the zones.
+    /// Endpoints of each destination, distributed over the zones.
     #[serde(default = "single")]
     pub endpoints: NonZeroU32,
-    /// Each endpoint is a route of its own, with its own limit and outages.
+    /// Whether each endpoint is a separate route, with its own limit and outages.
     #[serde(rename = "own_limits", default)]
     pub independent_endpoints: bool,
-    /// Messages in one call at most.
+    /// Maximum number of messages in a call.
     #[serde(rename = "batch", default = "single")]
     pub max_batch: NonZeroU32,
-    /// Calls a second that each destination (or route apart) takes from all relays together; what the list tells.
+    /// Calls per second that each destination (or separate route) accepts from all relays together, as the endpoint
+    /// list publishes it.
     pub rate: Rate,
-    /// What it can really work off, as a multiple of its rate.
-    #[serde(default = "headroom")]
+    /// Actual capacity as a multiple of the rate.
+    #[serde(default = "default_headroom")]
     pub headroom: Rate,
-    /// The median response time while nothing waits.
+    /// Median response time without queueing.
     #[serde(rename = "answers")]
     pub response_time: Span,
-    /// The spread of the response time: sigma of its logarithm.
-    #[serde(rename = "spread", default = "spread")]
+    /// Spread of the response time: standard deviation of its logarithm.
+    #[serde(rename = "spread", default = "default_spread")]
     pub response_time_spread: Amount,
-    /// Work of each further message of a call, as a share of the first one's.
-    #[serde(rename = "further", default = "further")]
+    /// Work of each further message of a call as a share of the work of the first.
+    #[serde(rename = "further", default = "default_batch_item_cost")]
     pub batch_item_cost: Share,
-    /// Calls that may wait at an endpoint beyond those it works on.
-    #[serde(rename = "queue", default = "queue")]
+    /// Maximum number of calls that wait at an endpoint, in addition to those in progress.
+    #[serde(rename = "queue", default = "default_queue_capacity")]
     pub queue_capacity: u32,
-    /// Connections that an endpoint takes, idle ones counted.
-    #[serde(rename = "connections", default = "connections")]
+    /// Maximum number of connections of an endpoint, idle ones included.
+    #[serde(rename = "connections", default = "default_max_connections")]
     pub max_connections: NonZeroU32,
-    /// A rate limit of each route, if there is one.
+    /// Rate limit of each route, if any.
     #[serde(default)]
     pub limit: Option<Limit>,
-    /// Its part of the traffic, against the other groups.
+    /// Share of the traffic relative to the other groups.
     #[serde(default = "one")]
     pub traffic: Rate,
 }
 
-fn headroom() -> Rate {
+fn default_headroom() -> Rate {
     Rate(1.3)
 }
 
-fn spread() -> Amount {
+fn default_spread() -> Amount {
     Amount(0.35)
 }
 
-fn further() -> Share {
+fn default_batch_item_cost() -> Share {
     Share(0.1)
 }
 
-fn queue() -> u32 {
+fn default_queue_capacity() -> u32 {
     32
 }
 
-fn connections() -> NonZeroU32 {
+fn default_max_connections() -> NonZeroU32 {
     non_zero(200)
 }
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -1,67 +1,66 @@
-//! What can be wrong with a scenario. Each error's text is one line: the file, the line where one can be told, and
-//! the reason.
+//! Errors of scenarios. Each error is one line of text: the file, the line number where known, and the reason.
 
 use crate::{FORMAT, ScriptedFaultKind, Span};
 use std::num::NonZeroU32;
 use thiserror::Error;
 
-/// Why a scenario was not read or written.
+/// Reason why a scenario could not be read or written.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
     /// The scenario's file can't be read.
     #[error("{file}: {source}")]
     Read {
-        /// The file as the user named it.
+        /// File as the user named it.
         file: String,
-        /// What the operating system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The text is no TOML, or a field is unknown, missing or of an impossible value.
+    /// The text is not valid TOML, or a field is unknown, missing or invalid.
     #[error("{file}:{line}: {}", .source.message().replace('\n', " "))]
     Parse {
-        /// The file as the user named it.
+        /// File as the user named it.
         file: String,
-        /// The line of the mistake, from 1.
+        /// Line of the error, counted from 1.
         line: usize,
-        /// What the TOML reader says.
+        /// Error of the TOML parser.
         source: Box<toml::de::Error>,
     },
-    /// Every field can be read, but the scenario does not fit together.
+    /// Each field is valid, but the scenario is inconsistent.
     #[error("{file}:{line}: {source}")]
     Inconsistent {
-        /// The file as the user named it.
+        /// File as the user named it.
         file: String,
-        /// The line of the mistake, from 1.
+        /// Line of the error, counted from 1.
         line: usize,
-        /// What does not fit.
+        /// Inconsistency.
         source: Inconsistency,
     },
     /// The recorded day can't be opened.
     #[error("{file}: {source}")]
     OpenRecording {
-        /// The CSV file.
+        /// CSV file.
         file: String,
-        /// What the CSV reader says.
+        /// Error of the CSV reader.
         source: csv::Error,
     },
     /// A line of the recorded day is malformed.
     #[error("{file}:{line}: {source}")]
     ParseRecording {
-        /// The CSV file.
+        /// CSV file.
         file: String,
-        /// The line, from 1.
+        /// Line, counted from 1.
         line: usize,
-        /// What the CSV reader says.
+        /// Error of the CSV reader.
         source: csv::Error,
     },
-    /// A line of the recorded day does not fit the scenario.
+    /// A line of the recorded day is inconsistent with the scenario.
     #[error("{file}:{line}: {source}")]
     InconsistentRecording {
-        /// The CSV file.
+        /// CSV file.
         file: String,
-        /// The line, from 1.
+        /// Line, counted from 1.
         line: usize,
-        /// What does not fit.
+        /// Inconsistency.
         source: RecordingInconsistency,
     },
     /// The scenario can't be written as TOML.
@@ -70,79 +69,79 @@
 }
 
 impl From<ScenarioError> for String {
-    /// For callers that report one plain line.
+    /// Returns the error as one line of text.
     fn from(error: ScenarioError) -> String {
         error.to_string()
     }
 }
 
-/// A reason why a scenario does not fit together.
-#[allow(missing_docs, reason = "the message beside each variant says what its fields are")]
+/// Reason why a scenario is inconsistent.
+#[allow(missing_docs, reason = "the error text of each variant explains its fields")]
 #[derive(Debug, PartialEq, Error)]
 pub enum Inconsistency {
-    #[error("format {found} is not known; this program reads format {FORMAT}")]
+    #[error("format {found} is not supported; this program reads format {FORMAT}")]
     UnknownFormat { found: u32 },
-    #[error("length: a day of no length")]
-    NoLength,
-    #[error("zones: {count} places; one to 200 are possible")]
+    #[error("`length` must be above 0")]
+    ZeroLength,
+    #[error("zones: there are {count}, but 1 to 200 are allowed")]
     ZoneCount { count: usize },
-    #[error("a day needs a lane and a group of destinations")]
-    NothingToSend,
-    #[error("two {kind} are called {name}")]
+    #[error("at least one [[lane]] and one [[destinations]] are required")]
+    MissingClassOrGroup,
+    #[error("two [[{kind}]] have the name {name}")]
     DuplicateName { kind: &'static str, name: String },
-    #[error("lane {class}: its deadline must come after its target time")]
+    #[error("lane {class}: `deadline` must be longer than `target`")]
     DeadlineBeforeObjective { class: String },
-    #[error("lane {class} needs a memory")]
+    #[error("lane {class}: effect `keyed` requires `memory`")]
     MissingDeduplicationWindow { class: String },
-    #[error("lane {class} takes no memory: it is not keyed")]
-    NeedlessDeduplicationWindow { class: String },
-    #[error("lane {class} takes no group: it is not keyed")]
-    NeedlessDeduplicationScope { class: String },
-    #[error("{name:?} can't name a group of destinations")]
-    ImpossibleGroupName { name: String },
+    #[error("lane {class}: `memory` requires effect `keyed`")]
+    UnexpectedDeduplicationWindow { class: String },
+    #[error("lane {class}: `group` requires effect `keyed`")]
+    UnexpectedDeduplicationScope { class: String },
+    #[error("{name:?} is not a valid name for a group of destinations")]
+    InvalidGroupName { name: String },
     #[error("clients.patience and relays.round_gap must be above 0")]
     ZeroInterval,
-    #[error("relays.discovery bounds calls for the list, which relays make only with watch")]
+    #[error("relays.discovery limits calls for the endpoint list, which relays make only with relays.watch")]
     DiscoveryWithoutWatch,
-    #[error("{subject}: it ends before it begins")]
+    #[error("{subject}: `to` must be later than `from`")]
     EndsBeforeStart { subject: String },
-    #[error("{subject}: it begins after the day, which lasts {}", String::from(*.length))]
+    #[error("{subject}: `from` must be within the day, which lasts {}", String::from(*.length))]
     StartsAfterDay { subject: String, length: Span },
-    #[error("{kind}: who is struck?")]
+    #[error("{kind}: `who` must name at least one target")]
     NoTarget { kind: ScriptedFaultKind },
-    #[error("{kind}: it strikes {expected}, and {text:?} names none")]
+    #[error("{kind}: `who` must name {expected}, but {text:?} does not")]
     WrongTarget { kind: ScriptedFaultKind, expected: &'static str, text: String },
-    #[error("{kind}: it needs {field}")]
+    #[error("{kind}: missing {field}")]
     MissingField { kind: ScriptedFaultKind, field: &'static str },
-    #[error("{kind}: it takes no {field}")]
-    NeedlessField { kind: ScriptedFaultKind, field: &'static str },
-    #[error("{kind}: level {level} is no share: it must lie from 0 to 1")]
-    LevelNoShare { kind: ScriptedFaultKind, level: f64 },
+    #[error("{kind}: unexpected {field}")]
+    UnexpectedField { kind: ScriptedFaultKind, field: &'static str },
+    #[error("{kind}: level {level} must be from 0 to 1")]
+    LevelOutOfRange { kind: ScriptedFaultKind, level: f64 },
     #[error("{kind}: level 0 does nothing")]
     ZeroLevel { kind: ScriptedFaultKind },
-    #[error("{kind}: it must last a while, and less than the gap to the next")]
-    ImpossibleDuration { kind: ScriptedFaultKind },
+    #[error("{kind}: `lasts` must be above 0 and shorter than `every`")]
+    InvalidDuration { kind: ScriptedFaultKind },
     #[error("{kind}: there is no lane {class}")]
     UnknownClass { kind: ScriptedFaultKind, class: String },
-    #[error("{kind}: relays are cut off from endpoints, and {text:?} names none")]
+    #[error("{kind}: `off` must name endpoints, but {text:?} does not")]
     CutFromRelays { kind: ScriptedFaultKind, text: String },
     #[error(transparent)]
     Target(#[from] TargetError),
-    #[error("{text:?}: there are no destinations called {name}")]
+    #[error("{text:?}: there is no group of destinations named {name}")]
     UnknownGroup { text: String, name: String },
-    #[error("{text:?}: {name} has {count} destinations, no {number}")]
+    #[error("{text:?}: there is no destination {number}; {name} has {count}, numbered from 0")]
     UnknownDestination { text: String, name: String, count: NonZeroU32, number: u32 },
-    #[error("{text:?}: it has {count} endpoints, no {number}")]
+    #[error("{text:?}: there is no endpoint {number}; the destination has {count}, numbered from 0")]
     UnknownEndpoint { text: String, count: NonZeroU32, number: u32 },
-    #[error("{text:?}: there are {count} relays")]
+    #[error("{text:?}: there is no such relay; there are {count}, numbered from 0")]
     UnknownRelay { text: String, count: NonZeroU32 },
 }
 
-/// A reason why a line of a recorded day does not fit its scenario.
-#[allow(missing_docs, reason = "the message beside each variant says what its fields are")]
+/// Reason why a line of a recorded day is inconsistent with its scenario.
+#[allow(missing_docs, reason = "the error text of each variant explains its fields")]
 #[derive(Debug, PartialEq, Error)]
 pub enum RecordingInconsistency {
-    #[error("{seconds} s lies outside the day or before the line above")]
+    #[error("{seconds} s is outside the day or earlier than the previous line")]
     OutOfOrder { seconds: f64 },
     #[error("there is no lane {class}")]
     UnknownClass { class: String },
@@ -150,10 +149,10 @@
     UnknownDestination { group: String, number: u32 },
 }
 
-/// A text that should name whom a trouble strikes and does not.
+/// Text that should name a target of a fault and does not.
 #[derive(Debug, PartialEq, Eq, Error)]
-#[error("{text:?} is no number (as in \"banks/3#0\" or \"relay/2\")")]
+#[error("{text:?} is not a number (as in \"banks/3#0\" or \"relay/2\")")]
 pub struct TargetError {
-    /// The part of the text that should be a number.
+    /// Part of the text that should be a number.
     pub text: String,
 }
--- a/crates/scenario/src/fault.rs
+++ b/crates/scenario/src/fault.rs
@@ -1,48 +1,48 @@
-//! The script of troubles: what goes wrong, from when to when, whom it strikes and how hard.
+//! Scripted faults: their kinds, times, targets and severity.
 
 use crate::{Amount, Share, Span, TargetError};
 use serde::{Deserialize, Serialize};
 
-/// One trouble; troubles overlap freely.
+/// Scripted fault. Faults may overlap.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScriptedFault {
-    /// What goes wrong.
+    /// Kind of fault.
     pub kind: ScriptedFaultKind,
-    /// When it begins.
+    /// Start.
     pub from: Span,
-    /// When it ends.
+    /// End.
     pub to: Span,
-    /// Whom it strikes: `*`, a group `banks`, a destination `banks/3`, an endpoint `banks/3#0`, `relays`,
-    /// a relay `relay/2`.
+    /// Targets: `*` for all endpoints, a group `banks`, a destination `banks/3`, an endpoint `banks/3#0`, `relays`
+    /// for all relays, or a relay `relay/2`.
     #[serde(rename = "who")]
     pub targets: Vec<String>,
-    /// Of those only this share, drawn for the day: destinations, or endpoints where `per_endpoint` is set.
+    /// Share of the targets that is affected, drawn for the day by destination, or by endpoint with `per_endpoint`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<Share>,
-    /// Endpoints are drawn one by one.
+    /// Whether `share` is drawn for each endpoint separately.
     #[serde(rename = "each", default)]
     pub per_endpoint: bool,
-    /// How hard: see [`ScriptedFaultKind::target_kind_and_description`] for what it means.
+    /// Severity; see [`ScriptedFaultKind::target_kind_and_description`] for its meaning.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub level: Option<Amount>,
-    /// Again and again: the time between two beginnings.
+    /// Time from the start of an occurrence to the start of the next, for faults that repeat.
     #[serde(rename = "every", default, skip_serializing_if = "Option::is_none")]
     pub repeat_interval: Option<Span>,
-    /// How long each occurrence lasts, where there are several.
+    /// Duration of each occurrence, for faults that repeat.
     #[serde(rename = "lasts", default, skip_serializing_if = "Option::is_none")]
     pub occurrence_duration: Option<Span>,
-    /// Only messages of this class.
+    /// Message class that is affected.
     #[serde(rename = "lane", default, skip_serializing_if = "Option::is_none")]
     pub class: Option<String>,
-    /// For relays cut off: from whom.
+    /// Endpoints that the relays are cut off from, written as in `who`.
     #[serde(rename = "off", default, skip_serializing_if = "Vec::is_empty")]
     pub cut_from: Vec<String>,
 }
 
 macro_rules! kinds {
     ($($name:ident $target:ident [$($field:ident)*] $description:literal;)*) => {
-        /// What can go wrong.
+        /// Kind of fault.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(rename_all = "kebab-case")]
         pub enum ScriptedFaultKind {
@@ -53,14 +53,14 @@
             /// All kinds, in the order of the documentation.
             pub const ALL: &[ScriptedFaultKind] = &[$(ScriptedFaultKind::$name,)*];
 
-            /// What it does, and whom it strikes.
+            /// Returns what the fault affects, and its description.
             pub fn target_kind_and_description(self) -> (TargetKind, &'static str) {
                 match self {
                     $(ScriptedFaultKind::$name => (TargetKind::$target, $description),)*
                 }
             }
 
-            /// Which of the fields beside `kind`, `from`, `to` and `who` it needs.
+            /// Returns the fields that it requires in addition to `kind`, `from`, `to` and `who`.
             pub fn required_fields(self) -> RequiredFields {
                 #[allow(unused_mut)]
                 let mut required = RequiredFields::default();
@@ -73,7 +73,7 @@
     };
 }
 
-/// The fields that a kind needs; it takes no others.
+/// Fields that a kind of fault requires; it allows no other optional ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequiredFields {
     /// `level`, from 0 to 1.
@@ -88,7 +88,7 @@
     pub cut_from: bool,
 }
 
-/// What a kind of trouble strikes.
+/// What a kind of fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetKind {
     /// Endpoints.
@@ -98,42 +98,42 @@
 }
 
 kinds! {
-    Errors Endpoints [level_fraction] "that part of the calls is answered with an error at once; half of those have run";
-    Shut Endpoints [] "every call is refused, no wait told";
-    Refuse Endpoints [] "connections are refused; calls at work end";
-    Hang Endpoints [] "the process stands still: calls are taken in, run when it goes on";
-    Silent Endpoints [] "no byte passes in either direction, then what waited does";
-    Vanish Endpoints [] "the machine is gone without a word; it comes back cold";
-    Crash Endpoints [] "the process dies: connections break, new ones are refused; it comes back cold";
-    Slow Endpoints [level] "answers take this many times as long";
-    Pauses Endpoints [repetition] "it stands still for a moment, again and again";
+    Errors Endpoints [level_fraction] "this share of the calls fails with an error at once; half of them have taken effect";
+    Shut Endpoints [] "every call is rejected without Retry-After";
+    Refuse Endpoints [] "new connections are refused; open ones are reset with their calls";
+    Hang Endpoints [] "the process is paused: calls are received and run once it resumes";
+    Silent Endpoints [] "no byte passes in either direction; pending bytes arrive once the fault ends";
+    Vanish Endpoints [] "the machine disappears without closing connections; it returns in slow start";
+    Crash Endpoints [] "the process exits: connections are reset, new ones refused; it returns in slow start";
+    Slow Endpoints [level] "responses take this many times as long";
+    Pauses Endpoints [repetition] "the process is paused repeatedly";
     HeavyTail Endpoints [level class] "one message in twenty of the lane takes this many times as long";
-    Resets Endpoints [level_fraction] "that part of the answers breaks off: the call has run, its connection is reset";
-    TablesFull Endpoints [] "no new connection is taken";
-    ThrottleCount Endpoints [level] "a limit by count in fixed windows: this share of its rate, waits told truly";
-    ThrottleRate Endpoints [level] "a limit by rate: this share of its rate, no wait told";
-    ThrottleLies Endpoints [level] "a limit by rate: this share of its rate, waits told wrongly";
-    ThrottleSpends Endpoints [level] "a limit by count that refused calls use up too, waits told truly";
-    Stale Endpoints [level_fraction] "that part of the calls on idle connections is met by a reset";
-    ListLate Endpoints [] "what the list would tell of them comes when this is over";
-    ListWrong Endpoints [] "the list says that they are gone, though they are not";
-    Drain Endpoints [] "listed as draining, gone when this is over, others in their place";
-    Replace Endpoints [] "gone at once without a word, others in their place, listed when this is over";
-    Readdress Endpoints [] "another id takes over the address at once, the list tells of both when this is over";
-    WatchLost Relays [] "the list's changes do not reach them";
-    Kill Relays [] "killed, started again from the spool when this is over";
-    Waves Relays [repetition] "killed one after another, each started again";
-    Stall Relays [] "no round is played; sockets go on taking";
-    Cut Relays [cut_from] "no byte passes between them and some endpoints";
-    ClockStep Relays [level] "the clock jumps ahead by so many seconds, and back when this is over";
+    Resets Endpoints [level_fraction] "this share of the responses is cut off: the call has run, its connection is reset";
+    TablesFull Endpoints [] "no new connections are accepted";
+    ThrottleCount Endpoints [level] "a limit by count in fixed windows, at this share of the rate; Retry-After is exact";
+    ThrottleRate Endpoints [level] "a limit by rate, at this share of the rate; no Retry-After";
+    ThrottleLies Endpoints [level] "a limit by rate, at this share of the rate; Retry-After is wrong";
+    ThrottleSpends Endpoints [level] "a limit by count that rejected calls also use up; Retry-After is exact";
+    Stale Endpoints [level_fraction] "this share of the calls on idle connections is reset";
+    ListLate Endpoints [] "changes of these endpoints are listed only when the fault ends";
+    ListWrong Endpoints [] "the endpoint list reports these endpoints as removed, although they still serve";
+    Drain Endpoints [] "listed as draining and removed when the fault ends; replacements are listed at once";
+    Replace Endpoints [] "removed without notice and replaced; both changes are listed when the fault ends";
+    Readdress Endpoints [] "another endpoint id takes over the address at once; both changes are listed when the fault ends";
+    WatchLost Relays [] "changes of the endpoint list do not reach the relays";
+    Kill Relays [] "killed, and restarted from the spool when the fault ends";
+    Waves Relays [repetition] "killed one after another, each restarted";
+    Stall Relays [] "the process is paused; its sockets still accept data";
+    Cut Relays [cut_from] "no byte passes between the relays and the endpoints in off";
+    ClockStep Relays [level] "the clock jumps ahead by this many seconds, and back when the fault ends";
 }
 
-/// Whom a trouble strikes, as written in `who`.
+/// Target of a fault, as written in `who`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FaultTarget {
     /// Every endpoint.
     All,
-    /// A group, or only one of its destinations, or only one endpoint of that.
+    /// A group, or one destination of it, or one endpoint of that destination.
     Group(String, Option<u32>, Option<u32>),
     /// Every relay.
     Relays,
@@ -142,27 +142,27 @@
 }
 
 impl FaultTarget {
-    /// Reads one entry of `who`.
+    /// Parses an entry of `who`.
     ///
     /// # Errors
-    /// If a number is expected and something else is there.
+    /// If a number is expected and the text is something else.
     pub fn parse(text: &str) -> Result<FaultTarget, TargetError> {
         let number = |text: &str| text.parse::<u32>().map_err(|_| TargetError { text: text.into() });
         Ok(match (text, text.split_once('/')) {
             ("*", _) => FaultTarget::All,
             ("relays", _) => FaultTarget::Relays,
-            (_, Some(("relay", which))) => FaultTarget::Relay(number(which)?),
-            (_, Some((group, which))) => match which.split_once('#') {
-                Some((which, endpoint)) => {
-                    FaultTarget::Group(group.into(), Some(number(which)?), Some(number(endpoint)?))
+            (_, Some(("relay", relay))) => FaultTarget::Relay(number(relay)?),
+            (_, Some((group, member))) => match member.split_once('#') {
+                Some((destination, endpoint)) => {
+                    FaultTarget::Group(group.into(), Some(number(destination)?), Some(number(endpoint)?))
                 }
-                None => FaultTarget::Group(group.into(), Some(number(which)?), None),
+                None => FaultTarget::Group(group.into(), Some(number(member)?), None),
             },
             _ => FaultTarget::Group(text.into(), None, None),
         })
     }
 
-    /// What the named are.
+    /// Returns what the target consists of.
     pub fn kind(&self) -> TargetKind {
         match self {
             FaultTarget::Relays | FaultTarget::Relay(_) => TargetKind::Relays,
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,8 +1,8 @@
-//! The file format of a modelled fleet and its day, as TOML: destinations, endpoints, message classes, tenants,
-//! relays, traffic, and a script of troubles. Unknown fields and impossible values are refused with file, line and
-//! reason; what [`Scenario::read`] gives back fits together. See `docs/lab.md` for a field-by-field account.
+//! TOML format of a modelled fleet and its day: destinations, endpoints, message classes, tenants, relays, traffic
+//! and scripted faults. Unknown fields and invalid values are rejected with file, line and reason; a scenario
+//! returned by [`Scenario::read`] is consistent. `docs/lab.md` describes each field.
 //!
-//! The names in files are older than those in code: `serde(rename)` translates them here, and nowhere else.
+//! Some names in files differ from those in code; only the `serde(rename)` attributes here translate them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -36,63 +36,63 @@
 use std::path::Path;
 use toml::Spanned;
 
-/// The version of the format that this package reads.
+/// Version of the format that this package reads.
 pub const FORMAT: u32 = 1;
 
-/// A modelled fleet and its day.
+/// Modelled fleet and its day.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// The version of the file format.
+    /// Version of the file format.
     pub format: u32,
-    /// What the day is meant to show, in a sentence.
+    /// Purpose of the day in a sentence.
     #[serde(rename = "about")]
     pub description: String,
-    /// Messages are submitted for so long; the day goes on until the last of them has its final answer.
+    /// Time during which messages are submitted; the day ends once the last of them has its final answer.
     pub length: Spanned<Span>,
-    /// The zones, by name.
-    #[serde(default = "here")]
+    /// Names of the zones.
+    #[serde(default = "default_zones")]
     pub zones: Vec<String>,
-    /// The relays.
+    /// Relays.
     #[serde(default)]
     pub relays: Relays,
-    /// The thresholds of the rules.
+    /// Thresholds of the rules.
     #[serde(default)]
     pub rules: Rules,
-    /// The clients.
+    /// Clients.
     #[serde(default)]
     pub clients: Clients,
-    /// The message classes.
+    /// Message classes.
     #[serde(rename = "lane")]
     pub classes: Vec<MessageClass>,
-    /// The tenants.
+    /// Tenants.
     #[serde(rename = "tenant", default)]
     pub tenants: Vec<Tenant>,
-    /// The groups of destinations.
+    /// Groups of destinations.
     #[serde(rename = "destinations")]
     pub groups: Vec<Group>,
-    /// The traffic.
+    /// Traffic.
     pub traffic: Traffic,
-    /// What goes wrong, and when.
+    /// Scripted faults.
     #[serde(rename = "trouble", default)]
     pub faults: Vec<Spanned<ScriptedFault>>,
-    /// What the day is called: its file's name without the ending.
+    /// Name of the scenario: its file name without the extension.
     #[serde(skip)]
     pub name: String,
-    /// The messages of a recorded day, where `traffic.replay` names one.
+    /// Messages of the recorded day that `traffic.replay` names, if any.
     #[serde(skip)]
     pub recorded_messages: Vec<RecordedMessage>,
 }
 
-fn here() -> Vec<String> {
+fn default_zones() -> Vec<String> {
     vec!["here".into()]
 }
 
 impl Scenario {
-    /// Reads and checks a file, and the recorded day that it may name.
+    /// Reads and checks a file and the recorded day that it may name.
     ///
     /// # Errors
-    /// If the file can't be read, or is no scenario that fits together.
+    /// If a file can't be read, or does not hold a consistent scenario.
     pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -106,34 +106,34 @@
         Ok(scenario)
     }
 
-    /// Reads and checks a text; `shown` names it in complaints.
+    /// Reads and checks a text; `file` is its name in errors.
     ///
     /// # Errors
     /// As [`Scenario::read`].
-    pub fn from_text(text: &str, shown: &str) -> Result<Scenario, ScenarioError> {
+    pub fn from_text(text: &str, file: &str) -> Result<Scenario, ScenarioError> {
         let line_at = |byte: usize| text.get(..byte).map_or(1, |before| before.matches('\n').count() + 1);
         let scenario: Scenario = toml::from_str(text).map_err(|source| ScenarioError::Parse {
-            file: shown.to_string(),
+            file: file.to_string(),
             line: source.span().map_or(1, |span| line_at(span.start)),
             source: Box::new(source),
         })?;
-        check::check(&scenario).map_err(|complaint| ScenarioError::Inconsistent {
-            file: shown.to_string(),
-            line: line_at(complaint.byte),
-            source: complaint.reason,
+        check::check(&scenario).map_err(|located| ScenarioError::Inconsistent {
+            file: file.to_string(),
+            line: line_at(located.byte),
+            source: located.reason,
         })?;
         Ok(scenario)
     }
 
-    /// The scenario as a file, so that a found or changed day can be kept.
+    /// Returns the scenario as the text of a file.
     ///
     /// # Errors
-    /// What the serializer says; no scenario that was read causes one.
+    /// If the serializer fails, which it does for no scenario that was read.
     pub fn to_text(&self) -> Result<String, ScenarioError> {
         Ok(toml::to_string(self)?)
     }
 
-    /// Destinations in all.
+    /// Returns the number of destinations of all groups.
     pub fn destination_count(&self) -> u32 {
         self.groups.iter().map(|g| g.count.get()).sum()
     }
--- a/crates/scenario/src/limit.rs
+++ b/crates/scenario/src/limit.rs
@@ -4,50 +4,50 @@
 use crate::{Rate, Span};
 use serde::{Deserialize, Serialize};
 
-/// A limit on calls, beside what the endpoints can work off.
+/// Limit on calls, in addition to the capacity of the endpoints.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// How calls are counted.
+    /// Method of counting calls.
     pub by: LimitBy,
-    /// Calls a second; over `window` where calls are counted.
+    /// Calls per second; with `by = "count"` the average over `window`.
     pub rate: Rate,
-    /// The window over which calls are counted.
-    #[serde(default = "window")]
+    /// Length of a fixed window with `by = "count"`.
+    #[serde(default = "default_window")]
     pub window: Span,
-    /// What a rejected caller is told.
+    /// Accuracy of the Retry-After in rejections.
     #[serde(rename = "waits", default)]
     pub retry_after: RetryAfterAccuracy,
-    /// Rejected calls use up the limit too.
+    /// Whether rejected calls also use up the limit.
     #[serde(rename = "spent_by_refused", default)]
     pub rejected_calls_count: bool,
 }
 
-fn window() -> Span {
+fn default_window() -> Span {
     milliseconds(1_000)
 }
 
-/// How a limit counts calls.
+/// Method by which a limit counts calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimitBy {
-    /// Evenly, a tenth of a second's worth at once.
+    /// Token bucket that holds a tenth of a second's calls.
     Rate,
-    /// So many in each fixed window.
+    /// Maximum number of calls in each fixed window.
     Count,
 }
 
-/// How good the Retry-After is that a rejected caller is told.
+/// Accuracy of the Retry-After in rejections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", expecting = "enum Waits")]
 pub enum RetryAfterAccuracy {
-    /// It is exact.
+    /// Exact.
     #[default]
     #[serde(rename = "true")]
     Exact,
-    /// There is none.
+    /// No Retry-After is sent.
     Missing,
-    /// It lies between a tenth and four times the exact one.
+    /// Between a tenth and four times the exact value.
     #[serde(rename = "lying")]
     Wrong,
 }
--- a/crates/scenario/src/message_class.rs
+++ b/crates/scenario/src/message_class.rs
@@ -5,63 +5,63 @@
 use serde::{Deserialize, Serialize};
 use toml::Spanned;
 
-/// A message class.
+/// Message class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Lane")]
 pub struct MessageClass {
-    /// What files and reports call it.
+    /// Name in files and reports.
     pub name: String,
-    /// From submission to the time up to which a delivery has its whole weight.
+    /// Time after submission within which a delivery has its full weight.
     #[serde(rename = "target")]
     pub latency_objective: Span,
-    /// From submission to the time after which a delivery counts for nothing.
+    /// Time after submission; a later delivery has no weight.
     pub deadline: Spanned<Span>,
-    /// What a delivery in time is worth, against the other classes.
+    /// Weight of a timely delivery relative to the other classes.
     #[serde(rename = "value", default = "one")]
     pub priority_weight: Rate,
-    /// The share of the weight that is left at the deadline.
+    /// Share of the weight that remains at the deadline.
     #[serde(rename = "late_share", default)]
     pub late_weight_share: Share,
-    /// What running a message twice would do.
+    /// Effect of processing a message twice.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// With `keyed`: how long repeats are dropped, counted from the first attempt that may have run.
+    /// With `keyed`: time for which repeats are dropped, from the first attempt that may have run.
     #[serde(rename = "memory", default)]
     pub deduplication_window: Option<Span>,
-    /// With `keyed`: which endpoints recognise a repeat.
+    /// With `keyed`: endpoints that recognise a repeat.
     #[serde(rename = "group", default)]
     pub deduplication_scope: Option<Spanned<DeduplicationScope>>,
-    /// Messages of one key go in the order of their submission.
+    /// Whether messages of one key are sent in the order of their submission.
     #[serde(default)]
     pub in_order: bool,
-    /// Its part of the traffic, against the other classes.
+    /// Share of the traffic relative to the other classes.
     #[serde(default = "one")]
     pub traffic: Rate,
 }
 
-/// What running a message twice would do.
+/// Effect of processing a message twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", expecting = "enum Effect")]
 pub enum Idempotency {
-    /// No harm.
+    /// Harmless.
     #[serde(rename = "retriable")]
     Idempotent,
-    /// No harm within the window: repeats are dropped by an idempotency key.
+    /// Harmless within the window: endpoints drop repeats by an idempotency key.
     #[serde(rename = "keyed")]
     WithKey,
-    /// Harm.
+    /// Harmful.
     #[serde(rename = "non-retriable")]
     NotIdempotent,
 }
 
-/// The endpoints that recognise a repeat of a message that one of them ran.
+/// Endpoints that recognise a repeat of a message that one of them processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", expecting = "enum RepeatGroup")]
 pub enum DeduplicationScope {
-    /// All of the destination.
+    /// All endpoints of the destination.
     #[serde(rename = "all")]
     AllEndpoints,
-    /// Those of the same zone.
+    /// Endpoints of the destination in the same zone.
     #[serde(rename = "zone")]
     SameZone,
 }
--- a/crates/scenario/src/relays.rs
+++ b/crates/scenario/src/relays.rs
@@ -1,42 +1,42 @@
-//! The relays, and the endpoint discovery that they learn from.
+//! Relays and the endpoint discovery that they use.
 
 use crate::defaults::{milliseconds, non_zero};
 use crate::{Amount, Rate, Span};
 use serde::{Deserialize, Serialize};
 use std::num::NonZeroU32;
 
-/// The relays, which are alike.
+/// Settings of the relays, the same for all.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Relays {
-    /// How many there are.
+    /// Number of relays.
     pub count: NonZeroU32,
-    /// Calls that one relay may have in flight.
+    /// Maximum number of calls that a relay has in flight.
     #[serde(rename = "slots")]
     pub max_calls_in_flight: NonZeroU32,
-    /// Messages that one relay may hold.
+    /// Maximum number of messages that a relay holds.
     #[serde(rename = "held")]
     pub max_queued: NonZeroU32,
-    /// The shortest time between two steps of the decisions.
+    /// Minimum time between two steps of the delivery policy.
     #[serde(rename = "round_gap")]
     pub min_step_interval: Span,
-    /// Idle connections are closed by endpoints after this span.
+    /// Time after which endpoints close idle connections.
     #[serde(rename = "idle")]
     pub idle_timeout: Span,
-    /// A connection that is not up by then has failed.
+    /// Time limit for opening a connection.
     #[serde(rename = "connect")]
     pub connect_timeout: Span,
-    /// A relay may cancel a call in flight.
+    /// Whether a relay may cancel a call in flight.
     #[serde(rename = "recall")]
     pub may_cancel: bool,
-    /// How well the endpoint list knows a destination's rate.
+    /// Accuracy of a destination's rate in the endpoint list.
     #[serde(rename = "rates")]
     pub listed_rate: ListedRate,
-    /// The endpoint list comes only to a relay that watches it.
+    /// Whether a relay receives the endpoint list only while it watches it.
     pub watch: bool,
-    /// With `watch`: what endpoint discovery can serve; anything if it is not told.
+    /// With `watch`: capacity of endpoint discovery; unlimited if missing.
     pub discovery: Option<Discovery>,
-    /// The price of a call into another zone, in points of service for each first attempt.
+    /// Cost of a call to another zone, in points of service for each first attempt.
     pub cross_zone: Amount,
 }
 
@@ -58,40 +58,40 @@
     }
 }
 
-/// An endpoint discovery of limited capacity: it answers calls for the list one after another. A call whose turn
-/// comes after its time-out costs the same work, and its relay gets nothing.
+/// Endpoint discovery of limited capacity, which serves calls for the list one after another. A call that is served
+/// after its timeout costs the same work, but its relay gets no response.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// Calls for the list a second.
+    /// Calls for the list that are served per second.
     #[serde(rename = "calls")]
     pub calls_per_second: Rate,
-    /// A call not answered by then has failed.
-    #[serde(rename = "within", default = "within")]
+    /// Timeout of a call.
+    #[serde(rename = "within", default = "default_timeout")]
     pub timeout: Span,
-    /// A call that would wait longer is rejected at once.
-    #[serde(rename = "queued", default = "queued")]
+    /// Longest wait of a call; one that would wait longer is rejected at once.
+    #[serde(rename = "queued", default = "default_max_queue_wait")]
     pub max_queue_wait: Span,
 }
 
-fn within() -> Span {
+fn default_timeout() -> Span {
     milliseconds(2_000)
 }
 
-fn queued() -> Span {
+fn default_max_queue_wait() -> Span {
     milliseconds(6_000)
 }
 
-/// How well the endpoint list knows a destination's rate.
+/// Accuracy of a destination's rate in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", expecting = "enum Rates")]
 pub enum ListedRate {
-    /// Exactly.
+    /// Exact.
     Exact,
     /// Up to half too high or too low.
     #[serde(rename = "rough")]
     Approximate,
-    /// It tells no rate.
+    /// The list contains no rate.
     #[serde(rename = "untold")]
     Unknown,
 }
--- a/crates/scenario/src/rules.rs
+++ b/crates/scenario/src/rules.rs
@@ -1,41 +1,41 @@
-//! The thresholds of the rules.
+//! Thresholds of the rules.
 
 use crate::defaults::{milliseconds, non_zero};
 use crate::{Rate, Share, Span};
 use serde::{Deserialize, Serialize};
 use std::num::NonZeroU32;
 
-/// The thresholds of the rules, the same for every relay.
+/// Thresholds of the rules, the same for every relay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Attempts of a message at most.
+    /// Maximum number of attempts of a message.
     #[serde(rename = "legs")]
     pub max_attempts: NonZeroU32,
-    /// New attempts to a draining or removed endpoint are allowed for this long.
+    /// Time for which new attempts to a draining or removed endpoint are allowed.
     pub drain_grace: Span,
-    /// The next message of a key waits this long after an attempt that may still be running.
+    /// Wait of the next message of a key after an attempt that may still be running.
     #[serde(rename = "order_pause")]
     pub order_hold_off: Span,
-    /// A relay that polls for the endpoint list does so this often.
+    /// Interval between polls for the endpoint list, for relays that poll.
     #[serde(rename = "ask_within")]
     pub poll_interval: Span,
-    /// Capacity just after an outage, as a share.
+    /// Share of its capacity that a route has just after an outage.
     #[serde(rename = "cold_from")]
     pub slow_start_share: Share,
-    /// The time from the end of an outage to full capacity.
+    /// Time from the end of an outage until a route has its full capacity.
     #[serde(rename = "warm_after")]
     pub slow_start_duration: Span,
-    /// A route in slow start breaks down at this multiple of its capacity.
+    /// Multiple of its current capacity above which a route in slow start fails.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: Rate,
-    /// The load on a route in slow start is counted over this window.
+    /// Window over which the load on a route in slow start is summed.
     #[serde(rename = "fall")]
     pub overload_window: Span,
-    /// The longest Retry-After that clients heed.
+    /// Longest Retry-After that clients obey.
     #[serde(rename = "max_pause")]
     pub max_retry_after: Span,
-    /// How a message's weight falls after its latency objective.
+    /// Decrease of a message's weight after its latency objective.
     pub decay: Decay,
 }
 
@@ -56,11 +56,11 @@
     }
 }
 
-/// How a message's weight falls after its latency objective.
+/// Decrease of a message's weight after its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decay {
-    /// Evenly down to the late share at the deadline.
+    /// Linear down to the late share at the deadline.
     Linear,
     /// By half with each further latency objective, down to the late share.
     Halving,
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The messages that clients submit, drawn or recorded.
+//! Messages that clients submit, generated or recorded.
 
 use crate::defaults::non_zero;
 use crate::{Amount, Rate, Span};
@@ -7,77 +7,77 @@
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// The messages that clients submit.
+/// Messages that clients submit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Messages a second, over all relays.
+    /// Messages per second, over all relays.
     pub rate: Rate,
-    /// How requests follow one another.
+    /// Arrival process of requests.
     #[serde(default)]
     pub arrivals: Arrivals,
-    /// Messages of a clump go to one destination, this many in the mean.
+    /// Mean number of messages in a burst; all messages of a burst go to one destination.
     #[serde(rename = "clump", default)]
     pub burst_size: Option<Rate>,
-    /// How uneven the destinations of a group are: the exponent of their shares.
+    /// Exponent of the Zipf distribution of traffic over the destinations of a group; 0 is uniform.
     #[serde(default)]
     pub zipf: Amount,
-    /// Keys in use at a time at each destination, for classes that keep their order.
-    #[serde(default = "keys")]
+    /// Ordering keys in use at each destination, for classes that keep order.
+    #[serde(default = "default_keys")]
     pub keys: NonZeroU32,
-    /// Times of more traffic.
+    /// Periods of higher traffic.
     #[serde(rename = "rush", default)]
     pub peaks: Vec<Spanned<TrafficPeak>>,
-    /// A recorded day in place of drawn messages: a CSV file beside the scenario, with a head line
+    /// Recorded day in place of generated messages: a CSV file, relative to the scenario's folder, with the header
     /// `seconds,lane,destinations,number,key`.
     #[serde(default)]
     pub replay: Option<PathBuf>,
 }
 
-fn keys() -> NonZeroU32 {
+fn default_keys() -> NonZeroU32 {
     non_zero(20)
 }
 
-/// How requests follow one another.
+/// Arrival process of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Arrivals {
-    /// Independent of one another.
+    /// Poisson process.
     #[default]
     Poisson,
-    /// Bursts for one destination, Poisson between them.
+    /// Bursts as a Poisson process, each to one destination.
     #[serde(rename = "clumps")]
     Bursts,
-    /// At equal intervals.
+    /// Equal intervals.
     Even,
 }
 
-/// More traffic for a while.
+/// Period of higher traffic.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficPeak {
-    /// When it begins.
+    /// Start.
     pub from: Span,
-    /// When it ends.
+    /// End.
     pub to: Span,
-    /// The multiple of the usual rate.
+    /// Multiple of the usual rate.
     #[serde(rename = "times")]
     pub multiplier: Rate,
 }
 
-/// A message of a recorded day.
+/// Message of a recorded day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordedMessage {
-    /// When it was submitted, from the day's beginning.
+    /// Time of submission, in seconds since the start of the day.
     pub seconds: f64,
-    /// The name of its message class.
+    /// Name of its message class.
     #[serde(rename = "lane")]
     pub class: String,
-    /// The name of its group of destinations.
+    /// Name of its group of destinations.
     #[serde(rename = "destinations")]
     pub group: String,
-    /// The number of its destination in the group.
+    /// Number of its destination in the group.
     pub number: u32,
-    /// The key that orders it; 0 for none.
+    /// Ordering key; 0 means none.
     pub key: u64,
 }
--- a/crates/scenario/src/units.rs
+++ b/crates/scenario/src/units.rs
@@ -1,11 +1,11 @@
-//! Quantities as people write them, refused where they are impossible.
+//! Quantities in scenario files; parsing rejects invalid values.
 
 use fundu::{CustomDurationParser, CustomTimeUnit, Multiplier, TimeUnit};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use thiserror::Error;
 
-/// The units that a span of time may be written in.
+/// Units of durations in files.
 const UNITS: [(TimeUnit, [&str; 1]); 5] = [
     (TimeUnit::MicroSecond, ["us"]),
     (TimeUnit::MilliSecond, ["ms"]),
@@ -14,47 +14,47 @@
     (TimeUnit::Hour, ["h"]),
 ];
 
-/// A quantity that can't be.
+/// Invalid quantity.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum QuantityError {
-    /// The text is no span of time with a unit.
-    #[error("{text:?} is no span of time; write it as \"1.5 s\", \"200 ms\" or \"2 min\"")]
+    /// The text is not a duration with a unit.
+    #[error("{text:?} is not a duration; write it as \"1.5 s\", \"200 ms\" or \"2 min\"")]
     Span {
-        /// What was written.
+        /// Value in the file.
         text: String,
     },
-    /// The number lies outside 0 to 1.
-    #[error("{number} is no share: it must lie from 0 to 1")]
+    /// The number is outside 0 to 1.
+    #[error("{number} is not a valid share: it must be from 0 to 1")]
     Share {
-        /// What was written.
+        /// Value in the file.
         number: f64,
     },
     /// The number is not above 0.
-    #[error("{number} is no rate: it must be above 0")]
+    #[error("{number} is not a valid rate: it must be above 0")]
     Rate {
-        /// What was written.
+        /// Value in the file.
         number: f64,
     },
     /// The number is below 0.
-    #[error("{number} is no amount: it must be at least 0")]
+    #[error("{number} is not a valid amount: it must be at least 0")]
     Amount {
-        /// What was written.
+        /// Value in the file.
         number: f64,
     },
 }
 
-/// A span of time, written with its unit: `"1.5 s"`, `"200 ms"`, `"2 min"`.
+/// Duration, written with its unit: `"1.5 s"`, `"200 ms"`, `"2 min"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Span(pub Duration);
 
 impl Span {
-    /// Seconds, with their fraction.
+    /// Returns the duration in seconds, with the fraction.
     pub fn seconds(self) -> f64 {
         self.0.as_secs_f64()
     }
 
-    /// Whole microseconds.
+    /// Returns the duration in whole microseconds.
     pub fn us(self) -> u64 {
         self.0.as_micros() as u64
     }
@@ -88,7 +88,7 @@
 }
 
 macro_rules! numbers {
-    ($($(#[$doc:meta])* $name:ident: $is_possible:expr;)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: $is_valid:expr;)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
         #[serde(try_from = "f64", into = "f64")]
@@ -98,8 +98,8 @@
             type Error = QuantityError;
 
             fn try_from(number: f64) -> Result<$name, QuantityError> {
-                let is_possible: fn(f64) -> bool = $is_possible;
-                if is_possible(number) { Ok($name(number)) } else { Err(QuantityError::$name { number }) }
+                let is_valid: fn(f64) -> bool = $is_valid;
+                if is_valid(number) { Ok($name(number)) } else { Err(QuantityError::$name { number }) }
             }
         }
 
@@ -112,10 +112,10 @@
 }
 
 numbers! {
-    /// A part of a whole, 0 to 1.
+    /// Share of a whole, from 0 to 1.
     Share: |number| (0.0..=1.0).contains(&number);
-    /// Something a second, above 0.
+    /// Rate per second, above 0.
     Rate: |number| number.is_finite() && number > 0.0;
-    /// A finite number of at least 0.
+    /// Finite number of at least 0.
     Amount: |number| number.is_finite() && number >= 0.0;
 }
