--- a/crates/cli/src/lab/compare.rs
+++ b/crates/cli/src/lab/compare.rs
@@ -1,4 +1,4 @@
-//! `lab compare`: sets two sides of the same days side by side.
+//! `lab compare`: compares two sides on the same days.
 
 use super::read_scenario;
 use crate::Verdict;
@@ -12,16 +12,16 @@
 use mountshift_scenario::Scenario;
 use std::path::{Path, PathBuf};
 
-/// The name under which both sides are played, as days are paired by scenario and seed.
+/// Scenario name for both sides, since days are paired by scenario name and seed.
 const COMPARED_NAME: &str = "compared";
 
 #[derive(Args)]
 pub(crate) struct CompareArguments {
-    /// Side A and side B: results that `run --save` kept, or scenario files
+    /// Side A and side B: results of `run --save`, or scenario files
     #[arg(num_args = 2, required = true)]
     sides: Vec<PathBuf>,
-    /// Constants of the decisions on each side, as TOML (`RECOVERY_DELAY = "ms(2_200)"`); both sides then play the
-    /// scenarios named. Builds the decisions anew from this checkout.
+    /// Simulate these scenarios on both sides, which are then TOML files with constants of the delivery policy
+    /// (`RECOVERY_DELAY = "ms(2_200)"`). Builds the policy of each side from this checkout.
     #[arg(long, num_args = 1..)]
     constants_on: Vec<PathBuf>,
     #[arg(long, default_value_t = 16)]
@@ -38,15 +38,15 @@
     if arguments.json {
         println!("{}", to_json(&comparison)?);
     } else {
-        show_comparison(&comparison);
+        print_comparison(&comparison);
     }
-    Ok(Verdict::Good)
+    Ok(Verdict::Passed)
 }
 
-/// The days of one side: played with its constants, read, or played.
+/// Returns the days of a side: simulated with its constants, read from its results, or simulated from its scenario.
 fn side_days(arguments: &CompareArguments, side: &Path, seeds: &[u64]) -> Result<Vec<DayOutcome>, CliError> {
     if !arguments.constants_on.is_empty() {
-        return Variant::from_file(side)?.play(&arguments.constants_on, seeds);
+        return Variant::from_file(side)?.run(&arguments.constants_on, seeds);
     }
     if side.extension().is_some_and(|extension| extension == "json") {
         return read_results(side);
@@ -58,10 +58,10 @@
     Ok(days)
 }
 
-fn show_comparison(comparison: &Comparison) {
+fn print_comparison(comparison: &Comparison) {
     println!("A           {}", comparison.a);
     println!("B           {}", comparison.b);
-    println!("B less A    {}   worst 10 s {}", comparison.difference, comparison.worst_window);
+    println!("B minus A   {}   worst 10 s {}", comparison.difference, comparison.worst_window);
     for (class, difference) in &comparison.classes {
         println!("  lane {class:18} {difference}");
     }
--- a/crates/cli/src/lab/hunt.rs
+++ b/crates/cli/src/lab/hunt.rs
@@ -1,4 +1,4 @@
-//! `lab hunt`: searches scripts of troubles for bad days and cuts the worst down.
+//! `lab hunt`: searches scripted faults for bad days and reduces the worst script.
 
 use super::read_scenario;
 use crate::Verdict;
@@ -10,17 +10,17 @@
 
 #[derive(Args)]
 pub(crate) struct HuntArguments {
-    /// The world to search in; its own troubles are left out
+    /// Scenario to search in, without its own faults
     scenario: PathBuf,
-    /// Look for broken rules and not for losses
+    /// Search for broken rules instead of lost service
     #[arg(long)]
     rules: bool,
-    /// Scripts to try
+    /// Number of scripts to try
     #[arg(long, default_value_t = 200)]
     budget: usize,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Write the found day here
+    /// Write the scenario found to this file
     #[arg(long)]
     out: Option<PathBuf>,
 }
@@ -33,27 +33,27 @@
     bar.finish_and_clear();
     let Some(found) = found else {
         println!("{} scripts tried: no rule broken", arguments.budget);
-        return Ok(Verdict::Good);
+        return Ok(Verdict::Passed);
     };
-    show_found(arguments, &found);
+    print_found(arguments, &found);
     if let Some(path) = &arguments.out {
         write_file(path, &found.scenario.to_text().map_err(CliError::scenario)?)?;
-        println!("written to {}; play it with --first-seed {} --seeds 1", path.display(), found.seed);
+        println!("written to {}; run it with --first-seed {} --seeds 1", path.display(), found.seed);
     }
-    Ok(if found.severity.breach_count > 0 { Verdict::Bad } else { Verdict::Good })
+    Ok(if found.severity.breach_count > 0 { Verdict::Failed } else { Verdict::Passed })
 }
 
-fn show_found(arguments: &HuntArguments, found: &SearchResult) {
+fn print_found(arguments: &HuntArguments, found: &SearchResult) {
     let severity = found.severity;
-    let what_was_found = if arguments.rules {
+    let finding = if arguments.rules {
         format!("{} breaches", severity.breach_count)
     } else {
-        format!("top {:.3}, {} breaches", severity.omniscient_service, severity.breach_count)
+        format!("omniscient policy {:.3}, {} breaches", severity.omniscient_service, severity.breach_count)
     };
-    let (troubles_before, troubles_after) = found.fault_counts;
+    let (faults_before, faults_after) = found.fault_counts;
     println!(
-        "{} scripts tried. The worst, cut down from {troubles_before} troubles to {troubles_after}, seed {}: \
-         service {:.3}, {what_was_found}",
+        "{} scripts tried. The worst, reduced from {faults_before} faults to {faults_after}, seed {}: \
+         service {:.3}, {finding}",
         found.scripts_tried, found.seed, severity.service
     );
     for fault in &found.scenario.faults {
--- a/crates/cli/src/lab/list.rs
+++ b/crates/cli/src/lab/list.rs
@@ -1,4 +1,4 @@
-//! `lab list`: the scenarios of a folder, and all kinds of trouble.
+//! `lab list`: lists the scenarios of a folder, or all kinds of faults.
 
 use super::read_scenario;
 use crate::Verdict;
@@ -11,23 +11,23 @@
 pub(crate) struct ListArguments {
     #[arg(default_value = "examples/scenarios")]
     folder: PathBuf,
-    /// The kinds of trouble, and whom they strike
+    /// List the kinds of faults and what they affect
     #[arg(long)]
     troubles: bool,
 }
 
 pub(super) fn run(arguments: &ListArguments) -> Result<Verdict, CliError> {
     if arguments.troubles {
-        show_troubles();
-        return Ok(Verdict::Good);
+        print_fault_kinds();
+        return Ok(Verdict::Passed);
     }
     for path in scenario_files(&arguments.folder)? {
-        show_scenario(&read_scenario(&path)?);
+        print_scenario(&read_scenario(&path)?);
     }
-    Ok(Verdict::Good)
+    Ok(Verdict::Passed)
 }
 
-fn show_troubles() {
+fn print_fault_kinds() {
     for kind in ScriptedFaultKind::ALL {
         let (target_kind, description) = kind.target_kind_and_description();
         let target_kind = format!("{target_kind:?}").to_lowercase();
@@ -35,7 +35,7 @@
     }
 }
 
-/// The TOML files of a folder, in the order of their names.
+/// Returns the TOML files of a folder, sorted by name.
 fn scenario_files(folder: &Path) -> Result<Vec<PathBuf>, CliError> {
     let entries = std::fs::read_dir(folder).map_err(CliError::file(folder))?;
     let mut paths: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
@@ -44,7 +44,7 @@
     Ok(paths)
 }
 
-fn show_scenario(scenario: &Scenario) {
+fn print_scenario(scenario: &Scenario) {
     let relays = scenario.relays.count;
     let destinations = scenario.destination_count();
     println!(
--- a/crates/cli/src/lab/mod.rs
+++ b/crates/cli/src/lab/mod.rs
@@ -1,4 +1,4 @@
-//! The laboratory's commands.
+//! `mountshift lab`: simulations in virtual time.
 
 mod compare;
 mod hunt;
@@ -17,21 +17,21 @@
 
 #[derive(Subcommand)]
 pub(crate) enum LabCommand {
-    /// Play a scenario on many seeds and say what service came of it
+    /// Simulate scenarios with several seeds and report the service
     Run(run::RunArguments),
-    /// Set two sides of the same days side by side: results, scenarios or constants of the decisions
+    /// Compare two sides on the same days: results, scenarios or constants of the delivery policy
     Compare(compare::CompareArguments),
-    /// Play a scenario with one value changed again and again
+    /// Simulate a scenario with several values of one field or constant
     Sweep(sweep::SweepArguments),
-    /// Search scripts of troubles for days that break a rule or lose most, and cut the worst down
+    /// Search for scripted faults that break a rule or lose the most service, and reduce the worst script
     Hunt(hunt::HuntArguments),
-    /// Tell the story of one message, one wish of a client or one destination
+    /// Print the history of a message, a client's request or a destination
     Trace(trace::TraceArguments),
-    /// The scenarios of a folder, and all kinds of trouble
+    /// List the scenarios of a folder, or all kinds of faults
     List(list::ListArguments),
 }
 
-/// Carries a command of the laboratory out.
+/// Runs a lab command.
 pub(crate) fn run(command: LabCommand) -> Result<Verdict, CliError> {
     match command {
         LabCommand::Run(arguments) => run::run(&arguments),
@@ -43,21 +43,21 @@
     }
 }
 
-/// Which days are played.
+/// Selection of days to simulate.
 #[derive(Args)]
 struct DayArguments {
-    /// How many seeds, from the first one on
+    /// Number of seeds, counted up from the first
     #[arg(long, default_value_t = 4)]
     seeds: u64,
     #[arg(long, default_value_t = 1)]
     first_seed: u64,
-    /// Which policies; the project's decisions alone if none is named
+    /// Policies to simulate; only mountshift if none is given
     #[arg(long, value_delimiter = ',')]
     policies: Vec<PolicyArgument>,
-    /// All policies, with floor and top
+    /// All policies, including the baselines and the omniscient policy
     #[arg(long)]
     all: bool,
-    /// Results as JSON on standard output
+    /// Print results as JSON
     #[arg(long)]
     json: bool,
 }
@@ -78,7 +78,7 @@
     }
 }
 
-/// A policy by its name.
+/// Policy by its name.
 #[derive(Clone, Copy)]
 struct PolicyArgument(PolicyKind);
 
@@ -104,16 +104,16 @@
     Scenario::read(path).map_err(CliError::scenario)
 }
 
-/// True for days that the project's decisions played.
-fn is_ours(day: &DayOutcome) -> bool {
+/// Returns whether a day was simulated with mountshift's own policy.
+fn is_mountshift_day(day: &DayOutcome) -> bool {
     day.policy == PolicyKind::Mountshift.name()
 }
 
-/// Good where the project's decisions kept all rules; baselines may break them.
+/// Fails if mountshift's own policy broke a rule; baselines may break rules.
 fn verdict(days: &[DayOutcome]) -> Verdict {
-    if days.iter().filter(|day| is_ours(day)).all(DayOutcome::has_no_breaches) {
-        Verdict::Good
+    if days.iter().filter(|day| is_mountshift_day(day)).all(DayOutcome::has_no_breaches) {
+        Verdict::Passed
     } else {
-        Verdict::Bad
+        Verdict::Failed
     }
 }
--- a/crates/cli/src/lab/run.rs
+++ b/crates/cli/src/lab/run.rs
@@ -1,6 +1,6 @@
-//! `lab run`: plays scenarios on many seeds and says what service came of it.
+//! `lab run`: simulates scenarios with several seeds and reports the service.
 
-use super::{DayArguments, is_ours, read_scenario, verdict};
+use super::{DayArguments, is_mountshift_day, read_scenario, verdict};
 use crate::Verdict;
 use crate::error::CliError;
 use crate::output::{progress_bar, to_json, write_file};
@@ -12,8 +12,8 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Breaches that are shown; all stand in the results.
-const BREACHES_SHOWN: usize = 3;
+/// Maximum number of breaches printed; the results contain all that the checker stored.
+const MAX_PRINTED_BREACHES: usize = 3;
 
 #[derive(Args)]
 pub(crate) struct RunArguments {
@@ -22,16 +22,16 @@
     scenarios: Vec<PathBuf>,
     #[command(flatten)]
     days: DayArguments,
-    /// Write a page of the first scenario here
+    /// Write an HTML report of the first scenario to this file
     #[arg(long)]
     report: Option<PathBuf>,
-    /// Keep the results, for `compare`
+    /// Write the results to this file, for `compare`
     #[arg(long)]
     save: Option<PathBuf>,
 }
 
 pub(super) fn run(arguments: &RunArguments) -> Result<Verdict, CliError> {
-    // All are read before any is played.
+    // All scenarios are read first, so that an invalid one is reported before any simulation.
     let scenarios = read_scenarios(&arguments.scenarios)?;
     let policies = arguments.days.policies();
     let seeds = arguments.days.seeds();
@@ -42,7 +42,7 @@
         let report_path = arguments.report.as_ref().filter(|_| position == 0);
         let days = experiment::run(scenario, &policies, &seeds, report_path.is_some(), &|_| bar.inc(1));
         if !arguments.days.json {
-            bar.suspend(|| show_days(scenario, &days, start.elapsed()));
+            bar.suspend(|| print_days(scenario, &days, start.elapsed()));
         }
         if let Some(path) = report_path {
             write_file(path, &report::page(scenario, &days).map_err(CliError::experiment)?)?;
@@ -66,17 +66,17 @@
     paths.iter().map(|path| read_scenario(path)).collect()
 }
 
-fn show_days(scenario: &Scenario, days: &[DayOutcome], elapsed: Duration) {
+fn print_days(scenario: &Scenario, days: &[DayOutcome], elapsed: Duration) {
     println!("{}: {}", scenario.name, scenario.description);
     println!(
         "  {:14} {:26} {:>8} {:>9} {:>6} {:>9} {:>7}  rules",
-        "policy", "service [95%]", "worst 10", "of top", "legs", "into out", "pushed"
+        "policy", "service [95%]", "worst 10", "relative", "legs", "in outage", "pushed"
     );
     for summary in experiment::summarise(days) {
         println!("  {}", summary_row(&summary));
     }
-    let breaches = days.iter().filter(|day| is_ours(day)).flat_map(|day| &day.breaches);
-    for breach in breaches.take(BREACHES_SHOWN) {
+    let breaches = days.iter().filter(|day| is_mountshift_day(day)).flat_map(|day| &day.breaches);
+    for breach in breaches.take(MAX_PRINTED_BREACHES) {
         println!("  rule {} broken at {:.3} s: {}", breach.rule, breach.at_s, breach.reason);
     }
     let messages: u64 = days.iter().map(|day| day.messages).sum();
@@ -89,7 +89,7 @@
         summary.policy,
         summary.service.to_string(),
         summary.worst_window.mean,
-        summary.relative_service.map_or("-".to_string(), |place| format!("{place:.2}")),
+        summary.relative_service.map_or("-".to_string(), |service| format!("{service:.2}")),
         summary.attempts_per_message,
         summary.calls_into_outages,
         summary.overloaded_routes,
@@ -97,7 +97,7 @@
     )
 }
 
-/// The rules that were broken, counted from 1, and on how many days.
+/// Returns the numbers of the broken rules with the number of days on which each was broken.
 fn broken_rules(days_with_breaches: &[usize]) -> String {
     let mut broken = Vec::new();
     for (position, days) in days_with_breaches.iter().enumerate() {
--- a/crates/cli/src/lab/sweep.rs
+++ b/crates/cli/src/lab/sweep.rs
@@ -1,4 +1,4 @@
-//! `lab sweep`: plays a scenario with one value changed again and again.
+//! `lab sweep`: simulates a scenario with several values of one field or constant.
 
 use super::{DayArguments, read_scenario, verdict};
 use crate::Verdict;
@@ -13,31 +13,31 @@
 use mountshift_scenario::Scenario;
 use std::path::PathBuf;
 
-/// The name under which all values are played, as days are paired by scenario and seed.
+/// Scenario name for all values, since days are paired by scenario name and seed.
 const SWEPT_NAME: &str = "swept";
 
 #[derive(Args)]
 pub(crate) struct SweepArguments {
     scenario: PathBuf,
-    /// A value of the scenario, as `traffic.rate` or `trouble.0.level`
+    /// Field of the scenario, such as `traffic.rate` or `trouble.0.level`
     #[arg(long, conflicts_with = "constant", required_unless_present = "constant")]
     value: Option<String>,
-    /// A constant of the decisions, as `RECOVERY_DELAY`; the decisions are built anew for each value
+    /// Constant of the delivery policy, such as `RECOVERY_DELAY`; the policy is built for each value
     #[arg(long)]
     constant: Option<String>,
-    /// The values, as they would stand in the file
+    /// Values, written as in the file
     #[arg(long, num_args = 1.., required = true)]
     to: Vec<String>,
     #[command(flatten)]
     days: DayArguments,
 }
 
-/// A value, and the days played with it; in JSON a pair.
+/// Value with its simulated days; written to JSON as a pair.
 type Side = (String, Vec<DayOutcome>);
 
 pub(super) fn run(arguments: &SweepArguments) -> Result<Verdict, CliError> {
     let seeds = arguments.days.seeds();
-    // Refused as a whole before anything is played.
+    // All scenarios are created first, so that an invalid value is reported before any simulation.
     let scenarios = changed_scenarios(arguments)?;
     let bar = progress_bar((arguments.to.len() * seeds.len()) as u64);
     let mut sides = Vec::new();
@@ -52,22 +52,21 @@
     if arguments.days.json {
         println!("{}", to_json(&sides)?);
     } else {
-        show_sides(arguments, &sides)?;
+        print_sides(arguments, &sides)?;
     }
     let days: Vec<DayOutcome> = sides.into_iter().flat_map(|(_, days)| days).collect();
     Ok(verdict(&days))
 }
 
-/// The scenario with each value; none where a constant is swept.
+/// Returns the scenario with each value; empty if a constant is swept.
 fn changed_scenarios(arguments: &SweepArguments) -> Result<Vec<(String, Scenario)>, CliError> {
-    let shown = arguments.scenario.display().to_string();
+    let file = arguments.scenario.display().to_string();
     let text = std::fs::read_to_string(&arguments.scenario).map_err(CliError::file(&arguments.scenario))?;
     read_scenario(&arguments.scenario)?;
     let mut scenarios = Vec::new();
     if let Some(path) = &arguments.value {
         for value in &arguments.to {
-            let scenario =
-                experiment::with_value(&text, &shown, path, value).map_err(CliError::experiment)?;
+            let scenario = experiment::with_value(&text, &file, path, value).map_err(CliError::experiment)?;
             scenarios.push((value.clone(), Scenario { name: SWEPT_NAME.into(), ..scenario }));
         }
     }
@@ -83,27 +82,27 @@
     let mut sides = Vec::new();
     for value in &arguments.to {
         let variant = Variant::build([(constant.to_string(), value.clone())].into())?;
-        sides.push((value.clone(), variant.play(std::slice::from_ref(&arguments.scenario), seeds)?));
+        sides.push((value.clone(), variant.run(std::slice::from_ref(&arguments.scenario), seeds)?));
         bar.inc(seeds.len() as u64);
     }
     Ok(sides)
 }
 
-fn show_sides(arguments: &SweepArguments, sides: &[Side]) -> Result<(), CliError> {
+fn print_sides(arguments: &SweepArguments, sides: &[Side]) -> Result<(), CliError> {
     let swept = arguments.value.as_ref().or(arguments.constant.as_ref()).map_or("", String::as_str);
-    println!("{swept:>16}  {:26} {:>8}  rules  against the first", "service [95%]", "worst 10");
+    println!("{swept:>16}  {:26} {:>8}  rules  compared to the first", "service [95%]", "worst 10");
     for (position, (value, days)) in sides.iter().enumerate() {
         let Some(summary) = experiment::summarise(days).into_iter().next() else { continue };
         let broken = days.iter().filter(|day| !day.has_no_breaches()).count();
         let rules = if broken == 0 { "kept".to_string() } else { format!("{broken} broken") };
-        let against_first = if position == 0 {
+        let comparison = if position == 0 {
             String::new()
         } else {
             experiment::compare(&sides[0].1, days).map_err(CliError::experiment)?.conclusion
         };
         let service = summary.service.to_string();
         let worst_window = summary.worst_window.mean;
-        println!("{value:>16}  {service:26} {worst_window:>8.3}  {rules}  {against_first}");
+        println!("{value:>16}  {service:26} {worst_window:>8.3}  {rules}  {comparison}");
     }
     Ok(())
 }
--- a/crates/cli/src/lab/trace.rs
+++ b/crates/cli/src/lab/trace.rs
@@ -1,4 +1,4 @@
-//! `lab trace`: tells the story of one message, one wish of a client or one destination.
+//! `lab trace`: prints the history of a message, a client's request or a destination.
 
 use super::{PolicyArgument, read_scenario, verdict};
 use crate::Verdict;
@@ -16,44 +16,44 @@
     seed: u64,
     #[arg(long, default_value = "mountshift")]
     policy: PolicyArgument,
-    /// A message's number, as breaches name it
+    /// Number of a message, as in breaches
     #[arg(long)]
     message: Option<u64>,
-    /// A client's wish, by number: all messages that stood for it
+    /// Number of a client's request: all messages that were submitted for it
     #[arg(long)]
     request: Option<u64>,
-    /// A destination, as `banks/3`
+    /// Destination, such as `banks/3`
     #[arg(long)]
     destination: Option<String>,
-    /// Every fact of the day
+    /// All facts of the day
     #[arg(long)]
     everything: bool,
 }
 
 impl TraceArguments {
-    fn names_a_subject(&self) -> bool {
+    fn has_selection(&self) -> bool {
         self.message.is_some() || self.request.is_some() || self.destination.is_some() || self.everything
     }
 }
 
 pub(super) fn run(arguments: &TraceArguments) -> Result<Verdict, CliError> {
     let scenario = read_scenario(&arguments.scenario)?;
-    let play = DayOptions { policy: arguments.policy.0, seed: arguments.seed, keep_timeline: false };
-    let day = Day::new(&scenario, play);
+    let options = DayOptions { policy: arguments.policy.0, seed: arguments.seed, keep_timeline: false };
+    let day = Day::new(&scenario, options);
     let mut tracer = Tracer::new(arguments, find_destination(&day, arguments)?);
-    if !arguments.names_a_subject() {
-        return Err(CliError::NoTraceSubject);
+    if !arguments.has_selection() {
+        return Err(CliError::MissingTraceSelection);
     }
-    let mut watch = |at: Time, seen: DayObservation| tracer.see(at, seen);
-    let outcome = day.with_observer(&mut watch).run();
-    if tracer.facts_shown == 0 {
+    let mut observer = |at: Time, observation: DayObservation| tracer.observe(at, observation);
+    let outcome = day.with_observer(&mut observer).run();
+    if tracer.facts_printed == 0 {
         return Err(CliError::EmptyTrace);
     }
     println!("service of the day {:.4}, digest {}", outcome.service, outcome.digest);
     Ok(verdict(&[outcome]))
 }
 
-/// The number of the destination that is asked about, if one is.
+/// Returns the number of the selected destination, if any.
 fn find_destination(day: &Day<'_>, arguments: &TraceArguments) -> Result<Option<u32>, CliError> {
     let Some(name) = &arguments.destination else { return Ok(None) };
     match day.destination(name) {
@@ -62,17 +62,17 @@
     }
 }
 
-/// Prints the facts that concern what is asked about; learns on the way which ids belong to it.
+/// Prints the facts about the selection, and collects the ids that belong to it.
 struct Tracer<'a> {
     arguments: &'a TraceArguments,
     destination: Option<u32>,
-    /// How the log lines of the destination's circuit breaker begin.
+    /// Prefix of the log lines of the destination's circuit breaker.
     breaker_prefix: Option<String>,
     messages: BTreeSet<u64>,
     calls: BTreeSet<u64>,
     endpoints: BTreeSet<u32>,
     routes: BTreeSet<u32>,
-    facts_shown: usize,
+    facts_printed: usize,
 }
 
 impl<'a> Tracer<'a> {
@@ -85,41 +85,41 @@
             calls: BTreeSet::new(),
             endpoints: BTreeSet::new(),
             routes: BTreeSet::new(),
-            facts_shown: 0,
+            facts_printed: 0,
         }
     }
 
-    fn see(&mut self, at: Time, seen: DayObservation) {
-        match seen {
+    fn observe(&mut self, at: Time, observation: DayObservation) {
+        match observation {
             DayObservation::Fact(fact) => {
-                self.learn(fact);
-                if self.arguments.everything || self.concerns(fact) {
+                self.collect_ids(fact);
+                if self.arguments.everything || self.is_selected(fact) {
                     println!("{:10.4} s  {fact}", seconds(at));
-                    self.facts_shown += 1;
+                    self.facts_printed += 1;
                 }
             }
             DayObservation::Log(relay, line) => {
-                if self.arguments.everything || self.is_of_breaker(line) {
+                if self.arguments.everything || self.is_breaker_line(line) {
                     println!("{:10.4} s  relay {relay} logs: {line}", seconds(at));
                 }
             }
         }
     }
 
-    fn is_of_breaker(&self, line: &str) -> bool {
+    fn is_breaker_line(&self, line: &str) -> bool {
         self.breaker_prefix.as_ref().is_some_and(|prefix| line.starts_with(prefix))
     }
 
-    /// True for a submission whose request or destination is asked about.
-    fn is_asked_for(&self, request: u64, destination: u32) -> bool {
+    /// Returns whether a submission has the selected request or destination.
+    fn is_selected_submission(&self, request: u64, destination: u32) -> bool {
         self.arguments.request == Some(request) || self.destination == Some(destination)
     }
 
-    /// Notes the ids that a fact adds to what is asked about.
-    fn learn(&mut self, fact: &Fact) {
+    /// Collects the ids that a fact adds to the selection.
+    fn collect_ids(&mut self, fact: &Fact) {
         match *fact {
             Fact::Submitted { message, request, destination, .. }
-                if self.is_asked_for(request, destination) =>
+                if self.is_selected_submission(request, destination) =>
             {
                 self.messages.insert(message);
             }
@@ -136,7 +136,7 @@
         }
     }
 
-    fn concerns(&self, fact: &Fact) -> bool {
+    fn is_selected(&self, fact: &Fact) -> bool {
         match *fact {
             Fact::CallReceived { call, .. } => self.calls.contains(&call),
             Fact::EndpointAdded { endpoint, .. }
@@ -150,7 +150,7 @@
     }
 }
 
-/// A time of the day, which counts microseconds, in seconds.
+/// Converts a time from microseconds to seconds.
 fn seconds(at: Time) -> f64 {
     at as f64 / 1e6
 }
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,4 +1,4 @@
-//! `mountshift load`: hands messages to a relay by a schedule, and looks for the rate that it bears.
+//! `mountshift load`: submits messages to a relay on a schedule, or searches for the highest rate that it sustains.
 
 use crate::Verdict;
 use crate::error::CliError;
@@ -11,37 +11,37 @@
 
 #[derive(Args)]
 pub(crate) struct LoadArguments {
-    /// The relay, at a loopback address
+    /// Loopback address of the relay
     #[arg(long)]
     to: SocketAddr,
-    /// Messages a second; with --p99 the rate to begin with
+    /// Messages per second; with --p99 the first rate of the search
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
-    /// Let the rate go evenly to this one
+    /// Change the rate linearly to this one
     #[arg(long, conflicts_with = "p99")]
     ramp_to: Option<f64>,
-    /// How long; with --p99 each step
+    /// Duration; with --p99 of each step
     #[arg(long = "for", default_value = "10 s", value_parser = span)]
     length: Span,
     #[arg(long, default_value_t = 32)]
     connections: usize,
-    /// The lane's name
+    /// Name of the lane
     #[arg(long)]
     lane: String,
     #[arg(long, value_delimiter = ',', required = true)]
     destinations: Vec<u32>,
-    /// Keys in use, for lanes that keep their order
+    /// Number of keys in use, for lanes that keep order
     #[arg(long, default_value_t = 0)]
     keys: u64,
-    /// Bytes of a message
+    /// Size of a message in bytes
     #[arg(long, default_value_t = 200)]
     body: usize,
     #[arg(long, default_value = "8 s", value_parser = span)]
     deadline: Span,
-    /// A connection without an answer for so long is given up
+    /// Time without an answer after which a connection is closed
     #[arg(long, default_value = "400 ms", value_parser = span)]
     patience: Span,
-    /// Look for the highest rate at which 99% of the answers come within this span
+    /// Search for the highest rate at which 99% of the answers arrive within this time
     #[arg(long, value_parser = span)]
     p99: Option<Span>,
     #[arg(long)]
@@ -52,7 +52,7 @@
     Span::try_from(text.to_string()).map_err(|e| e.to_string())
 }
 
-/// Measures the rate that was asked for, or searches for the rate that the relay bears.
+/// Measures the requested rate, or searches for the highest rate that the relay sustains.
 pub(crate) fn run(arguments: LoadArguments) -> Result<Verdict, CliError> {
     let json = arguments.json;
     let rate = arguments.rate;
@@ -65,7 +65,7 @@
 }
 
 fn plan(arguments: LoadArguments) -> Plan {
-    // Ids must not come twice at one relay.
+    // The seed differs between runs because a relay must not receive a message id twice.
     let seed = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64);
     Plan {
         relay: arguments.to,
@@ -92,33 +92,33 @@
     } else {
         println!("{report}");
     }
-    Ok(if is_complete(&report) { Verdict::Good } else { Verdict::Bad })
+    Ok(if is_complete(&report) { Verdict::Passed } else { Verdict::Failed })
 }
 
-/// True if every message got an answer.
+/// Returns whether every message was answered.
 fn is_complete(report: &Report) -> bool {
     report.accepted + report.rejected == report.due
 }
 
-/// Searches for the highest rate at which 99% of the answers come within the span, from `first_rate` on.
+/// Searches for the highest rate at which 99% of the answers arrive within `p99`, starting at `first_rate`.
 fn search(plan: &Plan, first_rate: f64, p99: Span, json: bool) -> Result<Verdict, CliError> {
     let best_rate =
-        mountshift_load::search(plan, p99.0, show_tried).map_err(|error| CliError::Load(error.into()))?;
+        mountshift_load::search(plan, p99.0, print_trial).map_err(|error| CliError::Load(error.into()))?;
     if json {
         println!("{}", to_json(&best_rate)?);
     } else if let Some(rate) = best_rate {
-        println!("{rate:.0} messages a second with 99% within {}", String::from(p99));
+        println!("{rate:.0} messages per second with 99% within {}", String::from(p99));
     } else {
-        println!("not even {first_rate:.0} messages a second");
+        println!("{first_rate:.0} messages per second are not sustained");
     }
-    Ok(if best_rate.is_some() { Verdict::Good } else { Verdict::Bad })
+    Ok(if best_rate.is_some() { Verdict::Passed } else { Verdict::Failed })
 }
 
-fn show_tried(tried: &Trial) {
-    let says = if tried.sustained { "borne" } else { "too much" };
-    let report = &tried.report;
+fn print_trial(trial: &Trial) {
+    let result = if trial.sustained { "sustained" } else { "not sustained" };
+    let report = &trial.report;
     eprintln!(
-        "{:8.0} a second: {says}, 99% within {:.2} ms, {} of {} taken",
-        tried.requested_rate, report.p99_ms, report.accepted, report.due
+        "{:8.0} per second: {result}, 99% within {:.2} ms, {} of {} accepted",
+        trial.requested_rate, report.p99_ms, report.accepted, report.due
     );
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,6 @@
-//! `mountshift`: what people do with the project by hand. The laboratory in virtual time, and a load tool.
+//! `mountshift`: command line tools for simulations in virtual time, load tests and soaks with real processes.
 //!
-//! Exit codes: 0 done, 1 a rule broke or messages were lost, 2 bad input (one plain line).
+//! Exit codes: 0 success, 1 a rule was broken or messages were lost, 2 error, such as invalid input (one line of text).
 #![forbid(unsafe_code)]
 
 mod error;
@@ -17,7 +17,7 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "mountshift", version, about = "Relay of messages to outside destinations: tools")]
+#[command(name = "mountshift", version, about = "Tools for the mountshift message relay")]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -25,33 +25,33 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play days of a model fleet in virtual time, compare, search, report
+    /// Simulate days of a modelled fleet in virtual time; compare, search and report
     #[command(subcommand)]
     Lab(lab::LabCommand),
-    /// Hand messages to a relay by a schedule, and measure from the moment each was due
+    /// Submit messages to a relay on a schedule, and measure latency from the scheduled time of each
     Load(load::LoadArguments),
-    /// Play drawn schedules of overlapping faults against real relay processes, and check the rules
+    /// Run generated schedules of overlapping faults against real relay processes, and check the rules
     Soak(soak::SoakArguments),
 }
 
-/// What a command that was carried out has found.
+/// Result of a completed command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// Nothing wrong.
-    Good,
+    /// Nothing wrong was found.
+    Passed,
     /// A rule was broken, or messages were lost.
-    Bad,
+    Failed,
 }
 
-/// The exit code of a command that found something wrong.
-const EXIT_BAD: u8 = 1;
-/// The exit code of a command that could not be carried out.
+/// Exit code of a command that found a broken rule or lost messages.
+const EXIT_FAILED: u8 = 1;
+/// Exit code of a command that could not complete.
 const EXIT_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
     match run(Arguments::parse().command) {
-        Ok(Verdict::Good) => ExitCode::SUCCESS,
-        Ok(Verdict::Bad) => ExitCode::from(EXIT_BAD),
+        Ok(Verdict::Passed) => ExitCode::SUCCESS,
+        Ok(Verdict::Failed) => ExitCode::from(EXIT_FAILED),
         Err(error) => {
             eprintln!("mountshift: {error}");
             ExitCode::from(EXIT_ERROR)
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! What all commands write alike: JSON, files, and progress where a person watches.
+//! Output that the commands share: JSON, files and progress bars.
 
 use crate::error::CliError;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
@@ -13,7 +13,7 @@
     std::fs::write(path, text).map_err(CliError::file(path))
 }
 
-/// A progress bar over days, shown where standard error is a terminal.
+/// Returns a progress bar over days, visible only if standard error is a terminal.
 pub(crate) fn progress_bar(days: u64) -> ProgressBar {
     let target = if std::io::stderr().is_terminal() {
         ProgressDrawTarget::stderr()
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -1,4 +1,4 @@
-//! `mountshift soak`: plays drawn schedules of faults against real relay processes.
+//! `mountshift soak`: runs generated schedules of faults against real relay processes.
 
 use crate::Verdict;
 use crate::error::CliError;
@@ -7,49 +7,49 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The target folder of the relay that the soak builds.
+/// Target folder for building the relay of a soak.
 const TARGET_DIR: &str = "target/soak";
-/// Without this, system calls of the relay leave past the C library, where the shim does not see them.
+/// Makes the relay call the C library for its system calls; otherwise the fault shim can't intercept them.
 const RELAY_FLAGS: &str = "--cfg=rustix_use_libc";
 
 #[derive(Args)]
 pub(crate) struct SoakArguments {
-    /// The seed that the schedule, the settings and the traffic are drawn from
+    /// Seed from which the schedule, the settings and the traffic are generated
     #[arg(long, default_value_t = 1, conflicts_with_all = ["seeds", "schedule"])]
     seed: u64,
-    /// Several seeds, as in 1..20, the last one included
+    /// Range of seeds, such as 1..20, both ends included
     #[arg(long, value_parser = seed_range, conflicts_with = "schedule")]
     seeds: Option<SeedRange>,
     /// Seconds of traffic
     #[arg(long, default_value_t = 60)]
     seconds: u64,
-    /// Relays, 40 at most
+    /// Number of relays, at most 40
     #[arg(long, default_value_t = 20)]
     relays: usize,
-    /// Kinds of faults to draw from; all without it
+    /// Kinds of faults in the schedule; all if none is given
     #[arg(long, value_delimiter = ',')]
     faults: Vec<FaultKind>,
-    /// Play this file
+    /// Run the schedule in this file
     #[arg(long)]
     schedule: Option<PathBuf>,
-    /// Print the drawn schedule and play nothing
+    /// Print the generated schedule without running it
     #[arg(long)]
     print: bool,
-    /// Where a run that broke something leaves its schedule, timeline and logs
+    /// Folder for the schedule, timeline and logs of a run with breaches
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Leave out faults of a schedule that broke something as long as it still does, and print what is left
+    /// Remove faults from a schedule with breaches while breaches remain, and print the reduced schedule
     #[arg(long)]
     shrink: bool,
-    /// The relay's program, in place of one that is built in target/soak
+    /// Program of the relay; built in target/soak if missing
     #[arg(long)]
     relay: Option<PathBuf>,
-    /// The shim for --relay; without it the faults of system calls do nothing
+    /// Fault shim for --relay; without it, faults of system calls have no effect
     #[arg(long, requires = "relay")]
     shim: Option<PathBuf>,
 }
 
-/// Seeds, both ends included.
+/// Range of seeds, both ends included.
 #[derive(Clone, Copy, Debug)]
 struct SeedRange {
     first: u64,
@@ -61,33 +61,33 @@
         text.split_once("..").and_then(|(first, last)| Some((first.parse().ok()?, last.parse().ok()?)));
     match parsed {
         Some((first, last)) if first <= last => Ok(SeedRange { first, last }),
-        _ => Err(format!("{text} is no range of seeds like 1..20")),
+        _ => Err(format!("{text} is not a range of seeds such as 1..20")),
     }
 }
 
-/// Plays what was asked for.
+/// Runs or prints the requested schedules.
 pub(crate) fn run(arguments: SoakArguments) -> Result<Verdict, CliError> {
     let schedules = schedules(&arguments)?;
     if arguments.print {
         for schedule in &schedules {
             println!("{}", schedule.to_json());
         }
-        return Ok(Verdict::Good);
+        return Ok(Verdict::Passed);
     }
     let programs = programs(&arguments)?;
-    let mut verdict = Verdict::Good;
+    let mut verdict = Verdict::Passed;
     println!(
-        "seed  faults  process ends  calls failed  submitted  accepted  delivered  held up ms  breaches"
+        "seed  faults         exits  syscall errs  submitted  accepted  delivered  stalled ms  breaches"
     );
     for schedule in schedules {
         let report = play(&schedule, &programs, arguments.out.as_deref()).map_err(CliError::soak)?;
         print_row(&report);
         if !report.has_no_breaches() {
-            verdict = Verdict::Bad;
+            verdict = Verdict::Failed;
             print_breaches(&report);
             if arguments.shrink {
-                let smallest = shrink(&schedule, &programs).map_err(CliError::soak)?;
-                println!("{}", smallest.to_json());
+                let reduced = shrink(&schedule, &programs).map_err(CliError::soak)?;
+                println!("{}", reduced.to_json());
             }
         }
     }
@@ -104,7 +104,7 @@
     (seeds.first..=seeds.last).map(|seed| draw(seed).map_err(CliError::soak)).collect()
 }
 
-/// The programs to play with; built, unless they were named.
+/// Returns the programs named in the arguments, or builds them.
 fn programs(arguments: &SoakArguments) -> Result<Programs, CliError> {
     if let Some(relay) = &arguments.relay {
         return Ok(Programs { relay: relay.clone(), shim: arguments.shim.clone() });
--- a/crates/cli/src/variant.rs
+++ b/crates/cli/src/variant.rs
@@ -1,5 +1,5 @@
-//! The decisions with other constants: built anew from this checkout beside it, and played by a program of their
-//! own, so that a value never comes into the decisions from outside.
+//! Variants of the delivery policy with changed constants. Each is built from a copy of this checkout and run as a
+//! separate program, so that the policy needs no way to set its constants from outside.
 
 use crate::error::CliError;
 use mountshift_lab::outcome::DayOutcome;
@@ -7,23 +7,23 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// The modules that hold the constants of the decisions.
+/// Folder of the modules with the constants of the delivery policy.
 const POLICY: &str = "src/policy";
-/// What a build needs of the checkout.
+/// Parts of the checkout that a build requires.
 const CHECKOUT_PARTS: [&str; 4] = ["Cargo.toml", "Cargo.lock", "src", "crates"];
-/// Each variant has a folder here.
-const VARIANTS: &str = "target/variants";
-/// Where all variants are built, so that they share what they have in common.
+/// Parent folder of the variants' folders.
+const VARIANTS_FOLDER: &str = "target/variants";
+/// Cargo target folder of all variants, shared so that dependencies are built once.
 const BUILD_FOLDER: &str = "target/variants/built";
 const BUILT_PROGRAM: &str = "target/variants/built/release/mountshift";
 
-/// The decisions with some constants changed.
+/// Program with changed constants of the delivery policy.
 pub(crate) struct Variant {
     program: PathBuf,
 }
 
 impl Variant {
-    /// Builds it from a file of constants by name, each with the text of its value.
+    /// Builds the variant from a TOML file with the source text of each changed constant's value by name.
     pub(crate) fn from_file(path: &Path) -> Result<Variant, CliError> {
         let text = std::fs::read_to_string(path).map_err(CliError::file(path))?;
         let constants = toml::from_str(&text)
@@ -31,7 +31,7 @@
         Variant::build(constants)
     }
 
-    /// Builds it; must be called inside the checkout.
+    /// Builds the variant. The working folder must be the checkout.
     pub(crate) fn build(constants: BTreeMap<String, String>) -> Result<Variant, CliError> {
         let mut modules = read_policy()?;
         for (constant, value) in &constants {
@@ -49,14 +49,14 @@
         if !build_succeeds(&folder) {
             return Err(CliError::BuildVariant { constants });
         }
-        // The next variant is built at the same place.
+        // The next build overwrites the program in the shared target folder.
         let program = folder.join("mountshift");
         std::fs::copy(BUILT_PROGRAM, &program).map_err(CliError::file(&program))?;
         Ok(Variant { program })
     }
 
-    /// Plays days with it.
-    pub(crate) fn play(&self, scenarios: &[PathBuf], seeds: &[u64]) -> Result<Vec<DayOutcome>, CliError> {
+    /// Simulates days with the variant.
+    pub(crate) fn run(&self, scenarios: &[PathBuf], seeds: &[u64]) -> Result<Vec<DayOutcome>, CliError> {
         let results = self.program.with_extension("json");
         let first_seed = seeds.first().copied().unwrap_or(1);
         let status = Command::new(&self.program)
@@ -69,14 +69,14 @@
             .status()
             .map_err(CliError::file(&self.program))?;
         match status.code() {
-            // A broken rule is a result too.
+            // Exit code 1 means a broken rule, which still gives results.
             Some(0 | 1) => read_results(&results),
             exit_code => Err(CliError::RunVariant { program: self.program.clone(), exit_code }),
         }
     }
 }
 
-/// The texts of the policy's modules, by path.
+/// Reads the texts of the policy's modules by path.
 fn read_policy() -> Result<BTreeMap<PathBuf, String>, CliError> {
     let no_checkout = |source| CliError::NoCheckout { path: POLICY.into(), source };
     let mut modules = BTreeMap::new();
@@ -88,7 +88,7 @@
     Ok(modules)
 }
 
-/// Replaces a constant's value in the one module that defines it.
+/// Replaces a constant's value in the module that defines it.
 fn change_constant(
     modules: &mut BTreeMap<PathBuf, String>,
     constant: &str,
@@ -103,13 +103,13 @@
     Err(CliError::UnknownConstant { path: POLICY, constant: constant.to_string() })
 }
 
-/// A folder that is named by the constants.
+/// Returns a folder whose name is made of the constants.
 fn variant_folder(constants: &BTreeMap<String, String>) -> PathBuf {
     let mut name = String::from("as-it-is");
     for (constant, value) in constants {
         name = format!("{name}-{constant}-{value}");
     }
-    Path::new(VARIANTS).join(name.replace(|c: char| !c.is_ascii_alphanumeric(), "-"))
+    Path::new(VARIANTS_FOLDER).join(name.replace(|c: char| !c.is_ascii_alphanumeric(), "-"))
 }
 
 fn copy_part(part: &'static str, folder: &Path) -> Result<(), CliError> {
@@ -120,7 +120,7 @@
     Err(CliError::CopyCheckout { part, folder: folder.to_path_buf() })
 }
 
-/// Leaves a file as it is where it holds the text already, so that it is not built again.
+/// Writes a file unless it already contains the text, so that Cargo does not rebuild it.
 fn write_if_changed(path: &Path, text: &str) -> Result<(), CliError> {
     if std::fs::read_to_string(path).is_ok_and(|old| old == text) {
         return Ok(());
@@ -138,7 +138,7 @@
     status.is_ok_and(|status| status.success())
 }
 
-/// The text with one constant's value replaced.
+/// Returns the text of a module with the value of a constant replaced.
 pub(crate) fn with_constant(policy: &str, constant: &str, value: &str) -> Result<String, CliError> {
     let mut found = false;
     let mut changed = String::new();
@@ -158,19 +158,19 @@
     Ok(changed)
 }
 
-/// The line with another value, if it is the constant's; what follows the value stays.
+/// Returns the line with the value replaced if it defines the constant. Text after the value is kept.
 fn line_with_value(line: &str, constant: &str, value: &str) -> Option<String> {
     let start = format!("const {constant}: ");
     let (visibility, rest) = line.split_once(&start)?;
     if !["", "pub(super) ", "pub(crate) "].contains(&visibility) {
         return None;
     }
-    let (kind, old) = rest.split_once(" = ")?;
+    let (constant_type, old) = rest.split_once(" = ")?;
     let (_, after) = old.split_once(';')?;
-    Some(format!("{visibility}{start}{kind} = {value};{after}"))
+    Some(format!("{visibility}{start}{constant_type} = {value};{after}"))
 }
 
-/// Days that `lab run --save` kept.
+/// Reads the results that `lab run --save` wrote.
 pub(crate) fn read_results(path: &Path) -> Result<Vec<DayOutcome>, CliError> {
     let text = std::fs::read_to_string(path).map_err(CliError::file(path))?;
     serde_json::from_str(&text).map_err(|source| CliError::Results { path: path.to_path_buf(), source })
--- a/crates/cli/src/variant_tests.rs
+++ b/crates/cli/src/variant_tests.rs
@@ -1,9 +1,9 @@
-//! What a variant changes in the text of the decisions.
+//! Tests of changing constants in the source of the delivery policy.
 
 use crate::variant::with_constant;
 
 #[test]
-fn a_constant_is_changed_and_nothing_else() {
+fn only_the_named_constant_is_changed() {
     let policy = "const A: u32 = 5; // five\nconst AB: f64 = 1.0;\n";
     assert_eq!(with_constant(policy, "A", "7").unwrap(), "const A: u32 = 7; // five\nconst AB: f64 = 1.0;\n");
     assert!(with_constant(policy, "B", "7").is_err());
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,5 +1,5 @@
-//! Something to try the relay with: `cargo run --example toy -- serve` plays discovery and two destinations,
-//! one steady (7) and one that fails for ten seconds of every twenty (8); `-- send 20` submits twenty messages.
+//! Test environment for trying the relay. `cargo run --example toy -- serve` runs endpoint discovery and two
+//! destinations: 7 always succeeds, 8 fails during ten seconds of every twenty. `-- send 20` submits twenty messages.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,7 +9,7 @@
 const RELAY: &str = "127.0.0.1:6390";
 const DISCOVERY: &str = "127.0.0.1:8500";
 
-/// A destination with one endpoint, as discovery lists it.
+/// Destination with one endpoint, as discovery lists it.
 struct Destination {
     number: u32,
     kind: &'static str,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Plays the destinations and discovery until the process is stopped.
+/// Serves the destinations and discovery until the process is stopped.
 fn serve() -> std::io::Result<()> {
     let start = Instant::now();
     spawn_server(STEADY.address, |path, body| answer_call(&STEADY, path, body, false))?;
@@ -40,11 +40,11 @@
         answer_call(&SHAKY, path, body, fails)
     })?;
     println!("discovery on {DISCOVERY}; stop with ctrl-C");
-    spawn_server(DISCOVERY, answer_discovery)?.join().expect("a server that runs for good");
+    spawn_server(DISCOVERY, answer_discovery)?.join().expect("the server thread does not panic");
     Ok(())
 }
 
-/// A destination's answer to a call of the relay.
+/// Returns a destination's response to a call of the relay.
 fn answer_call(destination: &Destination, path: &str, body: &[u8], fails: bool) -> (u16, String) {
     let outcome = if fails { "fails" } else { "delivered" };
     println!("{}: {path}, {} bytes, {outcome}", destination.kind, body.len());
@@ -55,8 +55,8 @@
     (200, outcomes)
 }
 
-/// The outcome of each message of a call with several: in the body each has a line with id, key and length, then
-/// its bytes.
+/// Returns the outcome lines for a call with several messages. In the body each message is a line with id, key and
+/// length, followed by its bytes.
 fn delivered_lines(body: &[u8]) -> String {
     let mut rest = body;
     let mut outcomes = String::new();
@@ -70,13 +70,13 @@
     outcomes
 }
 
-/// Discovery's answers, and the platform's to notifications.
+/// Returns responses of discovery, and of the platform that receives notifications of an end.
 fn answer_discovery(path: &str, body: &[u8]) -> (u16, String) {
     if path == "/status" {
         print!("notifications: {}", String::from_utf8_lossy(body));
         return (204, String::new());
     }
-    // Nothing ever changes after the first list, so a call that waits for news waits its time.
+    // The list never changes, so a call that waits for changes lasts for the requested time.
     if path.contains("index=1&") {
         let wait = path.rsplit("wait=").next().and_then(|ms| ms.parse().ok()).unwrap_or(1_000);
         thread::sleep(Duration::from_millis(wait));
@@ -86,7 +86,7 @@
     (200, format!(r#"{{"revision":1,"complete":true,"members":[{members}]}}"#))
 }
 
-/// The entry of a destination's endpoint in the endpoint list.
+/// Returns the entry of a destination's endpoint in the endpoint list.
 fn list_entry(destination: &Destination) -> String {
     let Destination { number, kind, address } = destination;
     format!(
@@ -94,7 +94,7 @@
     ) + r#""phase":"Ready","size":50.0,"up_since_ms":0}"#
 }
 
-/// Answers HTTP requests on an address, a thread for each connection.
+/// Serves HTTP requests on an address, with a thread for each connection.
 fn spawn_server(
     address: &str,
     answer: impl Fn(&str, &[u8]) -> (u16, String) + Clone + Send + 'static,
@@ -136,7 +136,8 @@
     }
 }
 
-/// Submits messages to the relay, every fourth a payment in order for the shaky destination; prints its replies.
+/// Submits messages to the relay and prints its replies. Every fourth is a payment, which keeps order, to the shaky
+/// destination.
 fn send(count: u64) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(RELAY)?;
     let mut reader = BufReader::new(stream.try_clone()?);
