--- a/crates/invariants/src/fact.rs
+++ b/crates/invariants/src/fact.rs
@@ -127,7 +127,7 @@
     },
     /// The client received the relay's acceptance of the message.
     Accepted { message: u64 },
-    /// The client gave up waiting for the acceptance; later facts about this message number don't count.
+    /// The client gave up waiting for the acceptance; no fact about this message number counts.
     Withdrawn { message: u64 },
     /// An attempt of a message started, in a call that may carry several messages.
     AttemptStarted { message: u64, call: u64, relay: u32, endpoint: u32 },
--- a/crates/invariants/src/rules/slow_start.rs
+++ b/crates/invariants/src/rules/slow_start.rs
@@ -6,12 +6,12 @@
 use crate::verdict::Rule;
 use crate::{AttemptOutcome, Fact, RuleParameters};
 
-/// Minimum share of an overload from relays that saw the outage that breaks the rule. Other relays can't know of
-/// the slow start.
+/// Minimum share of an overload that must come from relays that saw the outage for the rule to be broken. Other
+/// relays can't know of the slow start.
 const MIN_WITNESS_SHARE: f64 = 2.0 / 3.0;
 
-/// Returns by how much the load on a route in slow start may exceed its budget by chance. The number of independent
-/// calls has a standard deviation of its square root; one deviation is allowed, and at least one call.
+/// Returns the amount by which the load on a route in slow start may exceed its budget by chance. The number of
+/// independent calls has a standard deviation of its square root; one deviation is allowed, and at least one call.
 pub fn overload_slack(budget: f64) -> f64 {
     budget.max(1.0).sqrt()
 }
--- a/crates/invariants/src/state/relay.rs
+++ b/crates/invariants/src/state/relay.rs
@@ -1,4 +1,4 @@
-//! State of a relay as observed from outside: its endpoint list, Retry-After holds and queues by key.
+//! State of a relay as observed from outside: its endpoint list, active Retry-After times and key queues.
 
 use crate::{ListedStatus, Time};
 use rustc_hash::FxHashMap;
@@ -62,7 +62,7 @@
         self.listings.insert(endpoint, Listing { status, since });
     }
 
-    /// Records the exit of the process, which loses its endpoint list and Retry-After holds.
+    /// Records the exit of the process, which loses its endpoint list and Retry-After times.
     pub(crate) fn record_exit(&mut self) {
         self.down = true;
         self.listings.clear();
--- a/crates/invariants/src/state/route.rs
+++ b/crates/invariants/src/state/route.rs
@@ -3,7 +3,7 @@
 use crate::{Fact, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum number of facts in a route's history, which a busy slow start would grow without bound.
+/// Maximum number of facts in a route's history, which would otherwise grow without bound in a busy slow start.
 const MAX_HISTORY: usize = 400;
 
 /// Call that arrived during slow start.
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,5 +1,6 @@
 //! Test environment for trying the relay. `cargo run --example toy -- serve` runs endpoint discovery and two
-//! destinations: 7 always succeeds, 8 fails during ten seconds of every twenty. `-- send 20` submits twenty messages.
+//! destinations: 7 (steady) always succeeds, 8 (shaky) fails during ten seconds of every twenty. `-- send 20` submits
+//! twenty messages.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
