--- a/crates/lab/src/host/dispatcher.rs
+++ b/crates/lab/src/host/dispatcher.rs
@@ -77,9 +77,9 @@
 }
 
 impl Actions for DispatcherState {
-    fn send(&mut self, message: MessageId, endpoint: EndpointId, limit: Duration) {
+    fn send(&mut self, message: MessageId, endpoint: EndpointId, timeout: Duration) {
         let endpoint = endpoint_number(endpoint);
-        let attempt = QueuedAttempt { message: message.0, timeout: limit.as_micros() as u64 };
+        let attempt = QueuedAttempt { message: message.0, timeout: timeout.as_micros() as u64 };
         match self.queued.iter_mut().find(|queued| queued.endpoint == endpoint) {
             Some(queued) => queued.attempts.push(attempt),
             None => self.queued.push(QueuedAttempts { endpoint, attempts: vec![attempt] }),
--- a/crates/lab/tests/fault_injection.rs
+++ b/crates/lab/tests/fault_injection.rs
@@ -62,14 +62,14 @@
 }
 
 impl Actions for FaultyActions<'_> {
-    fn send(&mut self, msg: MessageId, to: EndpointId, limit: Duration) {
-        self.out.send(msg, to, limit);
+    fn send(&mut self, msg: MessageId, to: EndpointId, timeout: Duration) {
+        self.out.send(msg, to, timeout);
         self.last = Some(to);
         if self.fault == Fault::ParallelAttempts {
             // Endpoints of a destination have neighbouring numbers.
             let other = if to.0 % 2 == 1 { to.0 + 1 } else { to.0 - 1 };
             if self.peers.contains(&EndpointId(other)) {
-                self.out.send(msg, EndpointId(other), limit);
+                self.out.send(msg, EndpointId(other), timeout);
             }
         }
     }
--- a/crates/relay/src/dispatch/actions.rs
+++ b/crates/relay/src/dispatch/actions.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 impl Actions for DispatcherState {
-    fn send(&mut self, message: MessageId, endpoint: EndpointId, limit: Duration) {
-        let attempt = PendingAttempt { message, limit, needs_record: true };
+    fn send(&mut self, message: MessageId, endpoint: EndpointId, timeout: Duration) {
+        let attempt = PendingAttempt { message, timeout, needs_record: true };
         match self.pending_sends.iter_mut().find(|sends| sends.endpoint == endpoint) {
             Some(sends) => sends.attempts.push(attempt),
             None => self.pending_sends.push(PendingSends { endpoint, attempts: vec![attempt] }),
--- a/crates/relay/src/dispatch/calls.rs
+++ b/crates/relay/src/dispatch/calls.rs
@@ -258,8 +258,8 @@
 
     fn call(&self, number: CallNumber, planned: PlannedCall, stage: Rc<Cell<CallStage>>) -> Call {
         // A call times out as a whole, so that none of its messages is sent again while the call is open, and at the
-        // shortest limit of its messages: a response after a message's deadline doesn't count.
-        let limit = planned.attempts.iter().map(|attempt| attempt.limit).min().unwrap_or_default();
+        // shortest timeout of its attempts: a response after a message's deadline doesn't count.
+        let limit = planned.attempts.iter().map(|attempt| attempt.timeout).min().unwrap_or_default();
         let messages = planned.messages().filter_map(|message| self.call_message(message)).collect();
         let zone = self.endpoints.zone_name(planned.endpoint.zone).to_string();
         let address = planned.endpoint.address;
--- a/crates/relay/src/dispatch/state.rs
+++ b/crates/relay/src/dispatch/state.rs
@@ -52,8 +52,8 @@
 #[derive(Clone, Copy)]
 pub(super) struct PendingAttempt {
     pub(super) message: MessageId,
-    /// Time limit, after which the attempt ends as timed out.
-    pub(super) limit: Duration,
+    /// Time after which the attempt ends as timed out.
+    pub(super) timeout: Duration,
     /// Whether the spool must record the attempt before it may be sent.
     pub(super) needs_record: bool,
 }
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -5,8 +5,8 @@
 
 /// Receiver of the decisions of a step, in order.
 pub trait Actions {
-    /// Sends an attempt, which ends as timed out after `limit`.
-    fn send(&mut self, message: MessageId, endpoint: EndpointId, limit: Duration);
+    /// Sends an attempt, which ends as timed out after `timeout`.
+    fn send(&mut self, message: MessageId, endpoint: EndpointId, timeout: Duration);
     /// Ends the message as rejected; the client may safely submit it again after `retry_after`. Returns whether
     /// the end is acknowledged at once; otherwise a later input closes the message.
     fn reject(&mut self, message: MessageId, retry_after: Duration) -> bool;
--- a/tests/ordering.rs
+++ b/tests/ordering.rs
@@ -13,7 +13,7 @@
 struct SendRecorder(Vec<MessageId>);
 
 impl Actions for SendRecorder {
-    fn send(&mut self, message: MessageId, _endpoint: EndpointId, _limit: Duration) {
+    fn send(&mut self, message: MessageId, _endpoint: EndpointId, _timeout: Duration) {
         self.0.push(message);
     }
     fn reject(&mut self, _message: MessageId, _retry_after: Duration) -> bool {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -41,7 +41,7 @@
 }
 
 impl Actions for Recorder {
-    fn send(&mut self, message: MessageId, endpoint: EndpointId, _limit: Duration) {
+    fn send(&mut self, message: MessageId, endpoint: EndpointId, _timeout: Duration) {
         self.decisions.push(format!("send {} {}", message.0, name(endpoint)));
     }
     fn reject(&mut self, message: MessageId, _retry_after: Duration) -> bool {
