--- a/crates/simulation-adapter/src/reply.rs
+++ b/crates/simulation-adapter/src/reply.rs
@@ -66,7 +66,8 @@
     fn send(&mut self, message: MessageId, endpoint: EndpointId, timeout: Duration) {
         // On the wire a timeout of zero means no timeout.
         let timeout = timeout.max(Duration::from_micros(1));
-        let fields: [&[u8]; 3] = [&message.0.to_le_bytes(), &endpoint_bytes(endpoint), &microseconds(timeout)];
+        let fields: [&[u8]; 3] =
+            [&message.0.to_le_bytes(), &endpoint_bytes(endpoint), &microseconds(timeout)];
         self.record(ReplyCode::Send, &fields);
     }
 
