--- a/crates/lab/src/host/dispatcher.rs
+++ b/crates/lab/src/host/dispatcher.rs
@@ -114,8 +114,8 @@
         self.close_idle_connections(endpoint);
     }
 
-    fn wake_after(&mut self, span: Duration) {
-        let at = self.now + span.as_micros() as u64;
+    fn wake_after(&mut self, delay: Duration) {
+        let at = self.now + delay.as_micros() as u64;
         self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
     }
 
--- a/crates/lab/tests/fault_injection.rs
+++ b/crates/lab/tests/fault_injection.rs
@@ -102,8 +102,8 @@
     fn forget_endpoint(&mut self, endpoint: EndpointId) {
         self.out.forget_endpoint(endpoint);
     }
-    fn wake_after(&mut self, after: Duration) {
-        self.out.wake_after(after);
+    fn wake_after(&mut self, delay: Duration) {
+        self.out.wake_after(delay);
     }
     fn poll_endpoints(&mut self) {
         self.out.poll_endpoints();
--- a/crates/relay/src/dispatch/actions.rs
+++ b/crates/relay/src/dispatch/actions.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    fn wake_after(&mut self, span: Duration) {
-        let wake = self.now + span;
+    fn wake_after(&mut self, delay: Duration) {
+        let wake = self.now + delay;
         self.next_wake = Some(self.next_wake.map_or(wake, |earlier| earlier.min(wake)));
     }
 
--- a/crates/simulation-adapter/src/reply.rs
+++ b/crates/simulation-adapter/src/reply.rs
@@ -93,9 +93,9 @@
     /// them.
     fn forget_endpoint(&mut self, _endpoint: EndpointId) {}
 
-    fn wake_after(&mut self, span: Duration) {
+    fn wake_after(&mut self, delay: Duration) {
         // The timer's id follows; the adapter needs only one.
-        self.record(ReplyCode::WakeAfter, &[&microseconds(span), &[0; 4]]);
+        self.record(ReplyCode::WakeAfter, &[&microseconds(delay), &[0; 4]]);
     }
 
     fn poll_endpoints(&mut self) {
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -18,8 +18,8 @@
     fn close_idle_connections(&mut self, endpoint: EndpointId);
     /// Discards all data of an endpoint that is off the list, has nothing in flight and is needed by no rule.
     fn forget_endpoint(&mut self, endpoint: EndpointId);
-    /// Requests the next step after this span.
-    fn wake_after(&mut self, span: Duration);
+    /// Requests the next step after `delay`.
+    fn wake_after(&mut self, delay: Duration);
     /// Requests the endpoint list and its updates from discovery.
     fn poll_endpoints(&mut self);
     /// Writes a log line for on-call staff.
--- a/tests/ordering.rs
+++ b/tests/ordering.rs
@@ -25,7 +25,7 @@
     fn cancel(&mut self, _message: MessageId, _attempt: AttemptNumber) {}
     fn close_idle_connections(&mut self, _endpoint: EndpointId) {}
     fn forget_endpoint(&mut self, _endpoint: EndpointId) {}
-    fn wake_after(&mut self, _span: Duration) {}
+    fn wake_after(&mut self, _delay: Duration) {}
     fn poll_endpoints(&mut self) {}
     fn log(&mut self, _line: &str) {}
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -63,7 +63,7 @@
             self.decisions.push(format!("forget {}", name(endpoint)));
         }
     }
-    fn wake_after(&mut self, _span: Duration) {}
+    fn wake_after(&mut self, _delay: Duration) {}
     fn poll_endpoints(&mut self) {
         self.decisions.push("watch".into());
     }
