--- a/crates/lab/src/baselines/state.rs
+++ b/crates/lab/src/baselines/state.rs
@@ -155,7 +155,7 @@
             Input::AttemptEnded { message, outcome, run, closed, endpoint, .. } => {
                 self.on_attempt_ended(message, EndedAttempt { endpoint, outcome, run, closed });
             }
-            Input::RetryAfter { endpoint, span } => self.on_retry_after(endpoint, span),
+            Input::RetryAfter { endpoint, duration } => self.on_retry_after(endpoint, duration),
             Input::FullListBegins => self.on_full_list(),
             Input::EndpointListed(listed) => self.on_endpoint_listed(listed),
             Input::Closed(message) => self.on_closed(message),
@@ -214,12 +214,12 @@
         }
     }
 
-    fn on_retry_after(&mut self, endpoint: EndpointId, span: Duration) {
+    fn on_retry_after(&mut self, endpoint: EndpointId, duration: Duration) {
         let Some(route) = self.endpoints.get(&endpoint).map(|listed| self.route(endpoint, listed)) else {
             return;
         };
         let until = self.retry_after_until.entry(route).or_default();
-        *until = (*until).max(self.now + span);
+        *until = (*until).max(self.now + duration);
     }
 
     /// Marks all endpoints as not ready; the entries of the list that follow mark the listed ones again.
--- a/crates/lab/src/host/dispatcher.rs
+++ b/crates/lab/src/host/dispatcher.rs
@@ -231,7 +231,7 @@
                 endpoint: ended.endpoint,
                 retry_after,
             });
-            inputs.push(Input::RetryAfter { endpoint, span: Duration::from_micros(retry_after) });
+            inputs.push(Input::RetryAfter { endpoint, duration: Duration::from_micros(retry_after) });
         }
         let elapsed = Duration::from_micros(self.now.saturating_sub(ended.sent_at));
         for attempt in ends {
--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -183,8 +183,8 @@
 
     fn on_attempts_ended(&mut self, call: CallNumber, results: CallResult, inputs: &mut Vec<Input>) {
         if let Some(endpoint) = self.calls_in_flight.get(&call).map(|call| call.endpoint) {
-            if let Some(span) = results.retry_after {
-                inputs.push(Input::RetryAfter { endpoint, span });
+            if let Some(duration) = results.retry_after {
+                inputs.push(Input::RetryAfter { endpoint, duration });
             }
             if let Some(rate) = self.reported_rate_limit(&results) {
                 inputs.push(Input::RateLimitReported { endpoint, rate });
--- a/src/interface/input.rs
+++ b/src/interface/input.rs
@@ -48,7 +48,7 @@
         /// The endpoint that sent it.
         endpoint: EndpointId,
         /// Its duration, from now on.
-        span: Duration,
+        duration: Duration,
     },
     /// A response reported a rate limit for all relays together, which is late and inexact.
     RateLimitReported {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -123,7 +123,7 @@
         Input::AttemptEnded { message, endpoint, elapsed, outcome, run, closed } => {
             retry::attempt_ended(state, message, &EndedAttempt { endpoint, elapsed, outcome, run, closed });
         }
-        Input::RetryAfter { endpoint, span } => state.extend_retry_after(endpoint, span),
+        Input::RetryAfter { endpoint, duration } => state.extend_retry_after(endpoint, duration),
         Input::RateLimitReported { endpoint, rate } => pacing::rate_limit_reported(state, endpoint, rate),
         Input::FullListBegins => state.endpoints.mark_all_unavailable(state.now),
         Input::EndpointListed(listed) => discovery::endpoint_listed(state, listed),
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -116,9 +116,9 @@
     }
 
     /// Rule 6: applies a `Retry-After` to the route, from any response and however late it arrives.
-    pub(crate) fn extend_retry_after(&mut self, endpoint: EndpointId, span: Duration) {
-        let until = self.now + span;
-        if let Some(route) = self.route_of_mut(endpoint).filter(|_| span > Duration::ZERO) {
+    pub(crate) fn extend_retry_after(&mut self, endpoint: EndpointId, duration: Duration) {
+        let until = self.now + duration;
+        if let Some(route) = self.route_of_mut(endpoint).filter(|_| duration > Duration::ZERO) {
             route.extend_retry_after(until);
         }
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -236,7 +236,7 @@
         "gone" => vec![Input::Closed(words.message())],
         "leg" => vec![earlier_attempt(&words, now)],
         "ended" => vec![Input::FinalAnswerPending(words.message())],
-        "wait" => vec![Input::RetryAfter { endpoint: words.endpoint(1), span: words.span("for", 0.0) }],
+        "wait" => vec![Input::RetryAfter { endpoint: words.endpoint(1), duration: words.span("for", 0.0) }],
         "limit" => {
             vec![Input::RateLimitReported { endpoint: words.endpoint(1), rate: words.number("rate", 0.0) }]
         }
