--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What developers do here, by name. CI runs `.ci/run`, which is `make ci`.
+# Development tasks. CI runs `.ci/run`, as `make ci` does.
 STATE ?= target/state
 
 .PHONY: build test lint doc fmt run toy send ci
@@ -13,14 +13,15 @@
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 
-# The pages of all crates, in target/doc; a warning fails.
+# Builds the documentation of all crates in target/doc; warnings are errors.
 doc:
 	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
 fmt:
 	cargo fmt --all
 
-# A relay with the example configuration; start `make toy` beside it and submit messages by `make send`.
+# Runs a relay with the example configuration. `make toy` runs discovery and two destinations for it, `make send`
+# submits messages.
 run: build
 	mkdir -p $(STATE)
 	NODE_CONFIG=examples/config.json NODE_STATE=$(STATE) target/release/mountshift-relay
