--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -10,7 +10,7 @@
 /// Share of `max_queued` above which queued messages are rejected, so that new submissions still find room.
 const LOAD_SHEDDING_THRESHOLD: f64 = 0.9;
 
-pub(super) fn submitted(state: &mut State, id: MessageId, submission: Submission) {
+pub(super) fn add_message(state: &mut State, id: MessageId, submission: Submission) {
     let Some(class) = state.settings.classes.get(submission.class.0 as usize) else { return };
     let mut message = Message::new(&submission, class);
     message.over_quota = is_over_quota(state, submission.tenant, submission.restored);
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -26,20 +26,20 @@
 /// Records the result of a call for its endpoint and its route.
 pub(super) fn record_result(state: &mut State, call: &CallResult, elapsed: Duration, outcome: Outcome) {
     match outcome {
-        Outcome::Delivered => call_succeeded(state, call, elapsed),
+        Outcome::Delivered => record_success(state, call, elapsed),
         Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFailure => {
             state.routes.end_trial(call.route, call.number, Breaker::HalfOpen(None));
         }
         _ if !call.is_first_result => {}
-        Outcome::Rejected { retry_after } => pacing::call_rejected(state, call, retry_after),
-        _ => call_failed(state, call),
+        Outcome::Rejected { retry_after } => pacing::record_rejection(state, call, retry_after),
+        _ => record_failure(state, call),
     }
     if matches!(outcome, Outcome::Error | Outcome::ConnectFailed | Outcome::TimedOut | Outcome::Reset) {
         state.routes.confirm_failure(call.route);
     }
 }
 
-fn call_succeeded(state: &mut State, call: &CallResult, elapsed: Duration) {
+fn record_success(state: &mut State, call: &CallResult, elapsed: Duration) {
     if call.is_first_result {
         pacing::estimate_rate_limit(state, call.route);
     }
@@ -66,7 +66,7 @@
 }
 
 /// Records a call that failed or is overdue.
-pub(super) fn call_failed(state: &mut State, call: &CallResult) {
+pub(super) fn record_failure(state: &mut State, call: &CallResult) {
     let now = state.now;
     let skip_until = now + RECOVERY_DELAY;
     state.endpoints.record_failure(call.endpoint, LIMIT_DECREASE, ENDPOINT_FAILURE_THRESHOLD, skip_until);
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -9,7 +9,7 @@
 /// Maximum wait for discovery before a possibly stale list is used; discovery responds sooner or is down.
 const LIST_REFRESH_TIMEOUT: Duration = Duration::from_millis(500);
 
-pub(super) fn endpoint_listed(state: &mut State, listed: ListedEndpoint) {
+pub(super) fn update_endpoint(state: &mut State, listed: ListedEndpoint) {
     let new = Endpoint::new(&listed, state.route_id(&listed), CONCURRENCY_LIMIT_INITIAL);
     state.endpoints.update(listed.endpoint, new, listed.status, state.now);
     let rate = if listed.rate.is_finite() { listed.rate.max(0.0) } else { 0.0 };
@@ -23,7 +23,7 @@
 
 /// Rule 3: the list held at a start may be stale, as discovery may have reported a drain while no process
 /// ran. Nothing is sent until discovery responds, which delays a start while discovery is down.
-pub(super) fn list_may_be_stale(state: &mut State) {
+pub(super) fn await_list_refresh(state: &mut State) {
     state.list_awaited_until = Some(state.now + LIST_REFRESH_TIMEOUT);
 }
 
@@ -32,7 +32,7 @@
     state.poll_at = state.settings.requires_polling.then_some(pause);
 }
 
-pub(super) fn poll_failed(state: &mut State, retry_after: Option<Duration>) {
+pub(super) fn record_poll_failure(state: &mut State, retry_after: Option<Duration>) {
     state.poll_failures += 1;
     let jitter = state.jitter.draw(0);
     let pause = poll_schedule(state).retry_delay(state.poll_failures, retry_after, jitter);
--- a/src/policy/handover.rs
+++ b/src/policy/handover.rs
@@ -6,7 +6,7 @@
 
 /// Restores the routes of an earlier process of this relay: its `Retry-After` still applies (rule 6) and slow
 /// starts continue (rule 4). Routes that are not listed yet are ignored.
-pub(super) fn routes_restored(state: &mut State, snapshots: &[RouteSnapshot]) {
+pub(super) fn restore_routes(state: &mut State, snapshots: &[RouteSnapshot]) {
     state.routes.restore(snapshots, FAILURE_THRESHOLD, state.now);
 }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -114,24 +114,24 @@
 
 fn apply(state: &mut State, input: Input) {
     match input {
-        Input::Submitted { message, submission } => admission::submitted(state, message, submission),
+        Input::Submitted { message, submission } => admission::add_message(state, message, submission),
         Input::EarlierAttempt { message, zone, at, may_have_run } => {
             state.record_earlier_attempt(message, PossibleRun { at, zone }, may_have_run);
         }
         Input::FinalAnswerPending(message) => state.messages.end(message, false),
         Input::Closed(message) => state.messages.close(message),
         Input::AttemptEnded { message, endpoint, elapsed, outcome, run, closed } => {
-            retry::attempt_ended(state, message, &EndedAttempt { endpoint, elapsed, outcome, run, closed });
+            retry::end_attempt(state, message, &EndedAttempt { endpoint, elapsed, outcome, run, closed });
         }
         Input::RetryAfter { endpoint, duration } => state.extend_retry_after(endpoint, duration),
-        Input::RateLimitReported { endpoint, rate } => pacing::rate_limit_reported(state, endpoint, rate),
+        Input::RateLimitReported { endpoint, rate } => pacing::set_reported_rate(state, endpoint, rate),
         Input::FullListBegins => state.endpoints.mark_all_unavailable(state.now),
-        Input::EndpointListed(listed) => discovery::endpoint_listed(state, listed),
-        Input::ListReceived => state.list_received(),
-        Input::ListMayBeStale => discovery::list_may_be_stale(state),
-        Input::PollFailed { retry_after } => discovery::poll_failed(state, retry_after),
+        Input::EndpointListed(listed) => discovery::update_endpoint(state, listed),
+        Input::ListReceived => state.record_list_received(),
+        Input::ListMayBeStale => discovery::await_list_refresh(state),
+        Input::PollFailed { retry_after } => discovery::record_poll_failure(state, retry_after),
         Input::EndpointRestarted(endpoint) => state.start_slow_start(endpoint),
         Input::HandoverStarted => state.is_handing_over = true,
-        Input::RoutesRestored(routes) => handover::routes_restored(state, &routes),
+        Input::RoutesRestored(routes) => handover::restore_routes(state, &routes),
     }
 }
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -83,7 +83,7 @@
 }
 
 /// Takes the rate limit from a response. It is late and inexact, so a listed one takes precedence.
-pub(super) fn rate_limit_reported(state: &mut State, endpoint: EndpointId, rate: f64) {
+pub(super) fn set_reported_rate(state: &mut State, endpoint: EndpointId, rate: f64) {
     let is_unknown = state.settings.listed_rate == ListedRate::Unknown;
     if let Some(route) = state.route_of_mut(endpoint).filter(|_| is_unknown && rate > 0.0) {
         route.rate_limit = rate;
@@ -100,7 +100,7 @@
     }
 }
 
-pub(super) fn call_rejected(state: &mut State, call: &CallResult, retry_after: Duration) {
+pub(super) fn record_rejection(state: &mut State, call: &CallResult, retry_after: Duration) {
     let now = state.now;
     let jitter = state.jitter.draw(call.endpoint.0);
     state.endpoints.record_rejection(call.endpoint, LIMIT_DECREASE);
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -22,7 +22,7 @@
 /// Attempts that may run for a message of weight 0; one more for each multiple of the lowest class weight.
 const POSSIBLE_RUNS_MIN: f64 = 2.0;
 
-pub(super) fn attempt_ended(state: &mut State, id: MessageId, ended: &EndedAttempt) {
+pub(super) fn end_attempt(state: &mut State, id: MessageId, ended: &EndedAttempt) {
     let is_limited = ended.outcome == Outcome::ConnectionLimit;
     let rejected = Outcome::Rejected { retry_after: Duration::ZERO };
     let outcome = if is_limited { rejected } else { ended.outcome };
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -44,7 +44,7 @@
 pub(super) fn count_overdue_calls(state: &mut State) {
     for call in state.calls.count_overdue(state.now) {
         state.record_connection(&call, false, true);
-        circuit_breaker::call_failed(state, &call);
+        circuit_breaker::record_failure(state, &call);
     }
 }
 
--- a/src/state/endpoints.rs
+++ b/src/state/endpoints.rs
@@ -62,12 +62,12 @@
         self.calls_in_flight == 0 && self.has_connections() && now > self.last_used_at + idle_after
     }
 
-    pub(crate) fn call_started(&mut self, now: Duration) {
+    pub(crate) fn record_call_start(&mut self, now: Duration) {
         self.calls_in_flight += 1;
         self.last_used_at = now;
     }
 
-    pub(crate) fn call_ended(&mut self, now: Duration) {
+    pub(crate) fn record_call_end(&mut self, now: Duration) {
         self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
         self.last_used_at = now;
     }
@@ -137,7 +137,7 @@
     /// Records a call to the endpoint.
     pub(crate) fn record_call(&mut self, id: EndpointId, call: CallNumber, now: Duration) {
         let Some(endpoint) = self.by_id.get_mut(&id) else { return };
-        endpoint.call_started(now);
+        endpoint.record_call_start(now);
         self.by_destination.entry(endpoint.route.destination).or_default().last_call = call;
     }
 
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -132,7 +132,7 @@
     }
 
     /// Records that discovery responded.
-    pub(crate) fn list_received(&mut self) {
+    pub(crate) fn record_list_received(&mut self) {
         self.list_awaited_until = None;
         self.poll_failures = 0;
     }
@@ -156,7 +156,7 @@
         if call.is_over {
             self.idle_review_queue.push(call.endpoint);
             if let Some(endpoint) = self.endpoints.get_mut(call.endpoint) {
-                endpoint.call_ended(self.now);
+                endpoint.record_call_end(self.now);
                 let connected = self.consecutive_connected_calls.entry(endpoint.kind).or_default();
                 *connected = if was_refused { 0 } else { connected.saturating_add(1) };
             }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -221,9 +221,9 @@
     let mut endpoint = Endpoint::default();
     let is_idle = |endpoint: &Endpoint, now| endpoint.has_idle_connection(seconds(now), seconds(1.0));
     assert!(!is_idle(&endpoint, 9.0), "no connection was used");
-    endpoint.call_started(seconds(1.0));
+    endpoint.record_call_start(seconds(1.0));
     assert!(!is_idle(&endpoint, 9.0), "a call is in flight");
-    endpoint.call_ended(seconds(2.0));
+    endpoint.record_call_end(seconds(2.0));
     assert!(!is_idle(&endpoint, 3.0));
     assert!(is_idle(&endpoint, 3.1));
 }
