--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -24,6 +24,7 @@
     fn poll_endpoints(&mut self);
     /// Writes a log line for on-call staff.
     fn log(&mut self, line: &str);
-    /// Replaces the route state to be kept for the next process. Hosts without upgrades ignore it.
+    /// Replaces the route state to be kept for the next process. Hosts that do not support
+    /// upgrades ignore it.
     fn persist_routes(&mut self, _routes: &[RouteSnapshot]) {}
 }
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -76,7 +76,7 @@
     Interrupted,
 }
 
-/// The known state of the run of a message at the endpoint, after its attempt has ended for the relay.
+/// The known state of a message's run after the end of its attempt; the endpoint may still process it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
     /// It took no effect and will take none.
@@ -85,12 +85,12 @@
     Ran,
     /// It may have taken effect, and is over.
     MayHaveRun,
-    /// It may have taken effect, or may yet.
+    /// It may have taken effect, or may still do so.
     MayBeRunning,
 }
 
 impl RunState {
-    /// Returns the state of a run by the protocol's table of outcomes. It is derived only here.
+    /// Returns the state of a run according to the protocol's table of outcomes. No other code derives it.
     pub fn from_call(outcome: Outcome, end: CallEnd) -> RunState {
         match (end, outcome) {
             (CallEnd::NotWritten, _) => RunState::NeverRan,
--- a/src/interface/handover.rs
+++ b/src/interface/handover.rs
@@ -3,7 +3,8 @@
 use super::{DestinationId, EndpointId};
 use std::time::Duration;
 
-/// State of a route that is handed over to the next process at an upgrade; times since this process's start.
+/// State of a route that is handed over to the next process at an upgrade. Times count from the
+/// start of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteSnapshot {
     /// The destination.
--- a/src/interface/input.rs
+++ b/src/interface/input.rs
@@ -73,7 +73,7 @@
     /// The endpoint was restarted while it was in maintenance.
     EndpointRestarted(EndpointId),
     /// A successor takes over the messages of this process: no attempt is sent from now on. Final answers that
-    /// are due are still given.
+    /// are due are still sent.
     HandoverStarted,
     /// Route state of an earlier process of this relay, with times since this process's start.
     RoutesRestored(Vec<RouteSnapshot>),
--- a/src/interface/message.rs
+++ b/src/interface/message.rs
@@ -3,7 +3,7 @@
 use super::{ClassId, DestinationId, MessageId, OrderingKey, RunState, TenantId};
 use std::time::Duration;
 
-/// The effect of running a message twice, the harmless ones first.
+/// The effect of running a message twice; harmless effects are ordered first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Idempotency {
     /// A second run does no harm.
@@ -50,7 +50,7 @@
     /// Linear until the deadline.
     #[default]
     Linear,
-    /// Halved with each further span of the latency objective.
+    /// Halved each time that a further latency objective has passed.
     Halving,
 }
 
@@ -104,7 +104,7 @@
 /// The attempt of a message that is being closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClosingAttempt {
-    /// An attempt may be in flight and continues.
+    /// An attempt may be in flight; it is not cancelled.
     InFlight,
     /// The message is closed by the end of its only attempt in flight.
     Ended(RunState),
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -16,7 +16,8 @@
 const QUIET_PERIOD: Duration = Duration::from_millis(1_500);
 /// Delay before the first trial; also how long one failing endpoint of several is skipped.
 pub(super) const RECOVERY_DELAY: Duration = Duration::from_millis(1_800);
-/// Delay before a trial, longer after each failed one: few attempts in a long outage, recovery seen in 4.5 s.
+/// Delay before a trial, longer after each failed one: few attempts in a long outage. The maximum bounds the
+/// time in which a recovery is detected.
 const TRIAL_WAIT: Backoff = Backoff { first: RECOVERY_DELAY, growth: 1.4, max: Duration::from_millis(4_500) };
 /// Waiting messages per failure above which the trial delay does not grow, as messages outnumber trials.
 const WAITING_MESSAGES_PER_FAILURE: u32 = 4;
@@ -47,7 +48,7 @@
     state.endpoints.record_success(call.endpoint, now, elapsed, CONCURRENCY_LIMIT_MAX);
     let Some(route) = state.routes.get_mut(call.route) else { return };
     route.recent_results.add_flag(now, false);
-    // In a large fleet or at a quiet route no single relay may see enough failures to open its breaker.
+    // In a large fleet or at a quiet route a single relay may see too few failures to open its breaker.
     // Without this slow start all relays would resume at the full rate.
     if route.failure_confirmed && now.saturating_sub(route.failing_since) >= QUIET_PERIOD {
         route.start_slow_start(now);
@@ -90,7 +91,8 @@
     state.routes.end_trial(call.route, call.number, next);
 }
 
-/// Returns the delay before the next trial. It grows with each failure unless many messages wait for each.
+/// Returns the delay before the next trial. It grows with each failure while few messages wait: they
+/// do not justify many trials.
 fn recovery_delay(failures: u32, waiting: u32) -> Duration {
     let trials = if waiting > WAITING_MESSAGES_PER_FAILURE * failures { FAILURE_THRESHOLD } else { failures };
     TRIAL_WAIT.after(trials.saturating_sub(FAILURE_THRESHOLD))
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -6,7 +6,7 @@
 
 /// Concurrency limit of a new endpoint: enough calls to measure its response time, few if it is slow.
 pub(super) const CONCURRENCY_LIMIT_INITIAL: f64 = 4.0;
-/// Highest concurrency limit of an endpoint; calls in flight when an endpoint fails are lost time.
+/// Highest concurrency limit of an endpoint; all its calls in flight are lost time when the endpoint fails.
 pub(super) const CONCURRENCY_LIMIT_MAX: f64 = 24.0;
 /// Factor by which a failure or rejection reduces the concurrency limit.
 pub(super) const LIMIT_DECREASE: f64 = 0.6;
@@ -16,7 +16,7 @@
 const CALLS_PER_FREE_CALL: f64 = 2.0;
 
 /// Returns whether a destination may take another call, so that slow or failing destinations do not take all.
-/// With a small limit of calls, their breakers open late as a consequence.
+/// If few calls are allowed in total, their breakers open late as a consequence.
 pub(super) fn has_call_capacity_for(state: &State, destination: DestinationId) -> bool {
     (state.calls.in_flight_to(destination) as f64) < CALLS_PER_FREE_CALL * state.free_calls() as f64
 }
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -28,15 +28,15 @@
 }
 
 pub(super) fn schedule_first_poll(state: &mut State) {
-    let pause = poll_schedule(state).initial_delay(state.jitter.draw(0));
-    state.poll_at = state.settings.requires_polling.then_some(pause);
+    let delay = poll_schedule(state).initial_delay(state.jitter.draw(0));
+    state.poll_at = state.settings.requires_polling.then_some(delay);
 }
 
 pub(super) fn record_poll_failure(state: &mut State, retry_after: Option<Duration>) {
     state.poll_failures += 1;
     let jitter = state.jitter.draw(0);
-    let pause = poll_schedule(state).retry_delay(state.poll_failures, retry_after, jitter);
-    state.poll_at = state.settings.requires_polling.then_some(state.now + pause);
+    let delay = poll_schedule(state).retry_delay(state.poll_failures, retry_after, jitter);
+    state.poll_at = state.settings.requires_polling.then_some(state.now + delay);
 }
 
 pub(super) fn poll_if_due(state: &mut State, out: &mut dyn Actions) {
@@ -50,7 +50,7 @@
     PollSchedule { relay_count: state.settings.relay_count, poll_interval: state.settings.poll_interval }
 }
 
-/// Forgets unavailable endpoints that no rule still needs, as tables would otherwise grow without limit.
+/// Forgets unavailable endpoints that no rule needs any more; otherwise the tables would grow without limit.
 pub(super) fn forget_unused_endpoints(state: &mut State, out: &mut dyn Actions) {
     for id in state.endpoints.unused(state.now, state.settings.drain_grace) {
         let route_id = state.endpoints[id].route;
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -14,7 +14,7 @@
 const STALE_FAILURE_SHARE: f64 = 0.15;
 /// Number of relays above which their idle connections alone can fill an endpoint's connection table.
 const CONNECTION_TABLE_RELAYS: u32 = 16;
-/// Consecutive calls of a destination kind that got a connection, after which its tables count as not full.
+/// Consecutive calls to a kind of destination that got a connection and show that its tables are not full.
 const CONNECTED_CALLS_MIN: u32 = 50;
 
 /// Closes idle connections that may be stale, and in a large fleet those that may fill connection tables.
@@ -25,7 +25,7 @@
     let may_fill_table = state.settings.relay_count > CONNECTION_TABLE_RELAYS;
     for id in std::mem::take(&mut state.idle_review_queue) {
         let Some(endpoint) = state.endpoints.get_mut(id) else { continue };
-        // Refused connections alone show this too late: relays that keep their connections are not refused.
+        // Refused connections alone show a full table too late: relays that keep theirs are not refused.
         let connected = state.consecutive_connected_calls.get(&endpoint.kind).copied().unwrap_or(0);
         let fills_table = may_fill_table && connected < CONNECTED_CALLS_MIN;
         if endpoint.has_connections() && (are_stale || fills_table) {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,6 @@
 //! All decisions of one relay. A host calls [`DeliveryPolicy::step`] with its inputs; the decisions are
 //! returned as calls of [`Actions`]. Each module has one concern and its tuned constants (docs/design.md).
-//! Every send passes `safety`, the one place where the six rules are enforced.
+//! Every send passes `safety`, the one place where the six rules of the crate's documentation are enforced.
 
 mod admission;
 pub(crate) mod circuit_breaker;
@@ -25,7 +25,7 @@
 /// uneven traffic.
 const LARGE_FLEET: u32 = 6;
 
-/// The decisions of one relay: when and where each message is sent, and when it is given up.
+/// The decisions of one relay: when and where each message is sent, and when it fails.
 #[derive(Default)]
 pub struct DeliveryPolicy {
     state: State,
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -31,7 +31,7 @@
 /// Backoff after consecutive rejections: few calls while an endpoint rejects all, but one at least every 2 s.
 const REJECTION_BACKOFF: Backoff =
     Backoff { first: Duration::from_millis(120), growth: 2.0, max: Duration::from_secs(2) };
-/// Consecutive rejections up to which a large fleet's delay doubles; otherwise too many calls would coincide.
+/// Consecutive rejections up to which a large fleet's delay doubles; otherwise too many calls coincide.
 const FLEET_DELAY_DOUBLING_REJECTIONS: u32 = 3;
 /// Consecutive rejections without `Retry-After` that count as an outage: a rate limit lets some calls pass.
 const OUTAGE_REJECTIONS: u32 = 4;
@@ -59,8 +59,8 @@
 /// Returns a relay's fair share of the rate. It is above the even share in a large fleet, where a relay's
 /// traffic is uneven and a low rate would delay messages for long.
 fn fair_share(settings: &PolicySettings, rate: f64) -> f64 {
-    let least = if settings.relay_count > LARGE_FLEET { LARGE_FLEET_RATE_MIN } else { 0.0 };
-    (least / rate.max(1.0)).clamp(1.0 / f64::from(settings.relay_count), 1.0)
+    let min_rate = if settings.relay_count > LARGE_FLEET { LARGE_FLEET_RATE_MIN } else { 0.0 };
+    (min_rate / rate.max(1.0)).clamp(1.0 / f64::from(settings.relay_count), 1.0)
 }
 
 /// Returns the assumed rate limit before any is known: one call per second and relay, fewer in a large fleet.
@@ -127,9 +127,9 @@
 fn decrease_rate_share(settings: &PolicySettings, route: &mut Route, now: Duration) {
     let even_share = 1.0 / f64::from(settings.relay_count);
     let exceeds_even_share = fair_share(settings, route.rate_limit) > even_share;
-    let most = if exceeds_even_share { even_share } else { f64::INFINITY };
-    let least = if exceeds_even_share { even_share } else { RATE_SHARE_MIN * even_share };
-    route.decrease_rate_share(now, most, RATE_SHARE_DECREASE_FACTOR, least);
+    let max_share = if exceeds_even_share { even_share } else { f64::INFINITY };
+    let min_share = if exceeds_even_share { even_share } else { RATE_SHARE_MIN * even_share };
+    route.decrease_rate_share(now, max_share, RATE_SHARE_DECREASE_FACTOR, min_share);
 }
 
 fn is_rejection_outage(route: &Route, now: Duration) -> bool {
@@ -141,7 +141,8 @@
 pub(super) fn messages_allowed_now(state: &mut State, id: RouteId, batch: usize) -> usize {
     let now = state.now;
     let Some(route) = state.routes.get_mut(id) else { return 0 };
-    // One call at a time after a failure: otherwise most calls to a silent host precede the open breaker.
+    // One call at a time after a failure: otherwise most calls to a silent host are sent before
+    // the breaker opens.
     let has_failures = route.consecutive_failures + route.consecutive_rejections > 0;
     let must_wait = now < route.retry_after_until || now < route.backoff_until;
     if must_wait || (has_failures && state.calls.has_pending_result(id)) || !route.breaker.admits_call(now) {
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -6,14 +6,14 @@
 use crate::state::{EndedAttempt, Message, State};
 use std::time::Duration;
 
-/// Backoff before a retry, doubled with each: a destination that fails fast must not use up all attempts.
+/// Backoff before a retry, doubled each time: a destination that fails fast must not use up all attempts.
 const RETRY_BACKOFF: Duration = Duration::from_millis(250);
 /// Number of attempts up to which the backoff doubles; longer backoffs would use up a message's time.
 const BACKOFF_DOUBLING_ATTEMPTS: u8 = 6;
-/// Backoffs added after a rejection if all recent attempts were rejected, in proportion if only some were;
-/// without them a message would use up its attempts on one route after the other.
+/// Additional delay after a rejection, in backoffs, if all recent attempts were rejected, in proportion if
+/// only some were; without it a message would use up its attempts on one route after the other.
 const REJECTED_BACKOFFS: f64 = 8.0;
-/// Backoffs after a shortage on this machine: it lasts a while, and each attempt costs processor time.
+/// Delay, in backoffs, after a shortage on this machine: it lasts a while, and attempts cost processor time.
 const LOCAL_FAILURE_BACKOFFS: f64 = 0.4;
 /// Window, in seconds, over which the share of rejected attempts is measured.
 pub(crate) const REJECTION_WINDOW_SECONDS: usize = 30;
@@ -65,10 +65,10 @@
 
 pub(super) fn allows_another_attempt(state: &State, message: &Message) -> bool {
     let class = state.class_of(message);
-    // A class of weight 0 is no measure: it would get no attempt, and all others any number.
+    // A lowest weight of 0 would allow no attempt for its class, and any number for all others.
     let weights = state.settings.classes.iter().map(|class| class.priority_weight);
-    let least_weight = weights.filter(|weight| *weight > 0.0).fold(f64::MAX, f64::min);
-    let runs = POSSIBLE_RUNS_MIN + (class.priority_weight / least_weight).round();
+    let lowest_weight = weights.filter(|weight| *weight > 0.0).fold(f64::MAX, f64::min);
+    let runs = POSSIBLE_RUNS_MIN + (class.priority_weight / lowest_weight).round();
     let is_repeat_safe = class.idempotency == Idempotency::Idempotent
         || message.first_possible_run.is_none()
         || message.deduplication_left(class, state.now) > Some(DEADLINE_MARGIN * 2);
--- a/src/policy/safety.rs
+++ b/src/policy/safety.rs
@@ -1,4 +1,4 @@
-//! The one place where the six rules are enforced: every send is checked here.
+//! The one place where the six rules of the crate's documentation are enforced: every send is checked here.
 
 use super::{retry, timeouts};
 use crate::interface::*;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -63,11 +63,11 @@
 }
 
 fn candidates(state: &mut State, destination: DestinationId, objective: Duration) -> Vec<Candidate> {
-    let are_calls_short = state.calls_on_failing_routes() >= state.free_calls();
+    let are_free_calls_scarce = state.calls_on_failing_routes() >= state.free_calls();
     let endpoints = state.endpoints.of_destination(destination).to_vec();
     let mut candidates = Vec::new();
     for endpoint in endpoints.iter().copied() {
-        if !may_take_call(state, endpoint, endpoints.len() > 1, are_calls_short) {
+        if !may_take_call(state, endpoint, endpoints.len() > 1, are_free_calls_scarce) {
             continue;
         }
         let batch_size = state.batch_size(state.endpoints[endpoint].kind);
@@ -81,12 +81,12 @@
     candidates
 }
 
-fn may_take_call(state: &State, id: EndpointId, has_siblings: bool, are_calls_short: bool) -> bool {
+fn may_take_call(state: &State, id: EndpointId, has_siblings: bool, are_free_calls_scarce: bool) -> bool {
     let endpoint = &state.endpoints[id];
     let route = &state.routes[endpoint.route];
     // The limit does not apply to a trial: calls that are still in flight to a hung host must not delay it.
     let is_at_limit = f64::from(endpoint.calls_in_flight) + 1.0 > endpoint.concurrency_limit;
-    let is_withheld = route.consecutive_failures > 0 && are_calls_short;
+    let is_withheld = route.consecutive_failures > 0 && are_free_calls_scarce;
     let is_limited = route.is_closed() && (is_at_limit || is_withheld);
     let is_skipped = has_siblings && state.now < endpoint.skip_until;
     endpoint.unavailable_since.is_none() && !is_limited && !is_skipped
@@ -97,12 +97,12 @@
     let times = endpoint.response_times.totals(state.now);
     let fee = state.settings.zone_fees.get(endpoint.zone.0 as usize).copied().unwrap_or(0.0);
     let fee = if endpoint.route.endpoint.is_some() { fee } else { 0.0 };
-    let is_near = endpoint.zone == state.settings.zone;
-    let price = if is_near { 0.0 } else { state.settings.cross_zone_price };
+    let is_same_zone = endpoint.zone == state.settings.zone;
+    let price = if is_same_zone { 0.0 } else { state.settings.cross_zone_price };
     let objectives = times.sum / times.count / objective.as_secs_f64();
-    let slow = if times.count > 0.0 { LATENCY_COST * objectives.min(LATENCY_OBJECTIVES_MAX) } else { 0.0 };
-    let used = UTILIZATION_COST * f64::from(endpoint.calls_in_flight) / endpoint.concurrency_limit;
-    fee + price + slow + used + JITTER_COST_MAX * state.jitter.draw(id.0)
+    let latency = if times.count > 0.0 { LATENCY_COST * objectives.min(LATENCY_OBJECTIVES_MAX) } else { 0.0 };
+    let utilization = UTILIZATION_COST * f64::from(endpoint.calls_in_flight) / endpoint.concurrency_limit;
+    fee + price + latency + utilization + JITTER_COST_MAX * state.jitter.draw(id.0)
 }
 
 /// Returns the sort key of a message: those restored after a restart without an attempt first, then by weight
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: after an outage a destination can first handle a part of its rate, as defined by the settings.
-//! A budget limits calls to it; all relays of a large fleet together must not exceed it (rule 4).
+//! Slow start: after an outage a destination can at first handle only the part of its rate that the settings
+//! define. A budget limits calls to it; all relays of a large fleet together must not exceed it (rule 4).
 
 use super::LARGE_FLEET;
 use crate::interface::PolicySettings;
@@ -20,7 +20,7 @@
 const BURST_SHARE: f64 = 0.3;
 /// Share of the rate limit that other relays are assumed to have sent since an outage began.
 const FLEET_LOAD_SHARE: f64 = 1.0;
-/// Shortest outage for which the load of other relays is assumed, as little is known of a recent outage.
+/// Minimum duration of an outage assumed for the load of other relays; little is known of a recent outage.
 const FLEET_OUTAGE_SPAN_MIN: Duration = Duration::from_secs(4);
 
 /// Returns whether enough recent calls failed to count as an outage, so that the route needs a slow start.
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -20,9 +20,10 @@
 /// Maximum number of times that a message's timeout is doubled, once for each earlier timeout of the message:
 /// the next host may be slow too.
 const TIMEOUT_DOUBLINGS_MAX: u32 = 4;
-/// One call in this number is kept free for destinations that respond, by cancelling overdue calls.
+/// Allowed calls per call that is kept free, by cancelling overdue ones, for destinations that respond.
 const CALLS_PER_SPARE_CALL: usize = 8;
-/// Timeouts after which a call with a message that can't be sent again is cancelled: it is its only attempt.
+/// Time after which a call with a message that can't be sent again is cancelled, in timeouts of the call:
+/// it is the message's only attempt.
 const NOT_IDEMPOTENT_TIMEOUT_FACTOR: u32 = 2;
 
 pub(super) fn learned(state: &State, endpoint: EndpointId) -> Option<Duration> {
--- a/src/state/calls.rs
+++ b/src/state/calls.rs
@@ -64,7 +64,7 @@
     pub(crate) endpoint: EndpointId,
     pub(crate) messages_allowed: usize,
     pub(crate) messages: usize,
-    /// Size of the messages.
+    /// Total size of the messages.
     bytes: usize,
     overdue_after: Duration,
     shortest_time_left: Duration,
--- a/src/state/endpoints.rs
+++ b/src/state/endpoints.rs
@@ -28,9 +28,10 @@
         Endpoint { route, zone: listed.zone, kind: listed.kind, concurrency_limit, ..Endpoint::default() }
     }
 
-    /// Additive increase: about one call more per concurrency limit's number of successes, up to `maximum`.
-    pub(crate) fn record_success(&mut self, now: Duration, waited: Duration, maximum: f64) {
-        self.response_times.add(now, waited.as_secs_f64());
+    /// Records a success. Additive increase: while the limit is fully used, it grows by about one call with as many
+    /// successes as it allows calls, up to `maximum`.
+    pub(crate) fn record_success(&mut self, now: Duration, elapsed: Duration, maximum: f64) {
+        self.response_times.add(now, elapsed.as_secs_f64());
         // This call is no longer counted in flight. With 1 in place of 2, a limit of one would never grow again.
         let was_at_limit = f64::from(self.calls_in_flight) + 2.0 > self.concurrency_limit;
         let increase = if was_at_limit { 1.0 / self.concurrency_limit } else { 0.0 };
@@ -38,7 +39,7 @@
         self.consecutive_failures = 0;
     }
 
-    /// Multiplicative decrease, down to one call.
+    /// Multiplicative decrease: reduces the limit by `factor`, to one call at least.
     pub(crate) fn decrease_concurrency_limit(&mut self, factor: f64) {
         self.concurrency_limit = (self.concurrency_limit * factor).max(1.0);
     }
@@ -110,9 +111,15 @@
         self.by_destination.get(&destination).map(|entry| entry.last_call)
     }
 
-    pub(crate) fn record_success(&mut self, id: EndpointId, now: Duration, waited: Duration, limit_max: f64) {
+    pub(crate) fn record_success(
+        &mut self,
+        id: EndpointId,
+        now: Duration,
+        elapsed: Duration,
+        limit_max: f64,
+    ) {
         if let Some(endpoint) = self.by_id.get_mut(&id) {
-            endpoint.record_success(now, waited, limit_max);
+            endpoint.record_success(now, elapsed, limit_max);
         }
     }
 
@@ -167,7 +174,7 @@
         !self.unavailable.is_empty()
     }
 
-    /// Returns the endpoints that were unavailable for at least `grace` and have no calls in flight.
+    /// Returns the endpoints that have been unavailable for at least `grace` and have no calls in flight.
     pub(crate) fn unused(&self, now: Duration, grace: Duration) -> Vec<EndpointId> {
         let is_unused = |endpoint: &Endpoint| {
             endpoint.calls_in_flight == 0 && endpoint.unavailable_since.is_some_and(|at| now >= at + grace)
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Starts a slow start of the endpoint's route, as an endpoint is cold after maintenance (rule 4).
+    /// Starts a slow start of the endpoint's route, as an endpoint is cold after a restart (rule 4).
     pub(crate) fn start_slow_start(&mut self, endpoint: EndpointId) {
         let now = self.now;
         if let Some(route) = self.route_of_mut(endpoint) {
--- a/src/state/routes.rs
+++ b/src/state/routes.rs
@@ -112,8 +112,9 @@
         self.consecutive_rejections += 1;
     }
 
-    pub(crate) fn decrease_rate_share(&mut self, now: Duration, most: f64, factor: f64, least: f64) {
-        self.rate_share = (self.rate_share.min(most) * factor).max(least);
+    /// Reduces the share by `factor` from `max` at most, to `min` at least.
+    pub(crate) fn decrease_rate_share(&mut self, now: Duration, max: f64, factor: f64, min: f64) {
+        self.rate_share = (self.rate_share.min(max) * factor).max(min);
         self.rate_share_decreased_at = now;
     }
 
--- a/tests/ordering.rs
+++ b/tests/ordering.rs
@@ -1,4 +1,4 @@
-//! The order of a key is checked again right before the first byte of an attempt.
+//! Tests that the order of a key is checked again right before the first byte of an attempt.
 
 use mountshift::interface::*;
 use mountshift::policy::DeliveryPolicy;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,12 +1,18 @@
 //! Runs the scenarios in `tests/scenarios`, small text files with a line for each of:
 //!
-//! - `facts name=value ..`, `lane name=value ..`, `kind name=value ..`: the settings (`untold`: no rates are
-//!   listed), the message classes and the kinds of destinations; durations in seconds
+//! - `facts name=value ..`: the settings: `relays` (their number), `slots` (maximum calls in flight), `held`
+//!   (maximum messages held), `legs` (maximum attempts), `quota` (of each tenant), `rest` (hold-off), `watch`
+//!   (polling is required), `ask` (poll interval), `untold` (no rates are listed); all durations in seconds
+//! - `lane name=value ..`: a message class: its idempotency (`retriable`, `keyed`, any other word: not
+//!   idempotent), `memory` and `zone` (window and scope of deduplication), `value` (priority weight), `target`
+//!   (latency objective), `ordered`
+//! - `kind name=value ..`: a kind of destination: `apart` (independent endpoints), `batch` (maximum batch size)
 //! - `at T: event; event ..`: a step at time T with these inputs:
 //!   - `list A dst=1 ..` (a list update), `whole A dst=1 ..` (a full list), `nolist` (polling failed),
 //!     `oldlist` (the list may be stale), `listed` (discovery responded)
 //!   - `msg 1 lane=0 ..` (a submission; `restored`: from before a restart)
-//!   - `end 1 A delivered` (end of an attempt; `over`: not sent, message closed; `running`: may still run)
+//!   - `end 1 A delivered` (end of an attempt; `full`: rejected, with the `Retry-After` `wait`; `noroom`: the
+//!     connection limit is reached; `over`: not sent, message closed; `running`: may still run)
 //!   - `gone 1` (closed: withdrawn, or its final outcome was acknowledged)
 //!   - `leg 1 ago=2 zone=0 [refused]` and `ended 1` (an attempt and a final outcome from before a restart)
 //!   - `wait A for=1` (a `Retry-After`) and `limit A rate=2` (a rate limit), separate from outcomes
@@ -92,7 +98,7 @@
         let parse = |value: &&str| value.parse().unwrap_or_else(|_| panic!("{name}={value}"));
         self.values.get(name).map_or(default, parse)
     }
-    fn span(&self, name: &str, default: f64) -> Duration {
+    fn duration(&self, name: &str, default: f64) -> Duration {
         Duration::from_secs_f64(self.number(name, default))
     }
     fn endpoint(&self, position: usize) -> EndpointId {
@@ -113,13 +119,13 @@
     let is_zone_scoped = words.has("zone");
     let scope = if is_zone_scoped { DeduplicationScope::SameZone } else { DeduplicationScope::AllEndpoints };
     MessageClass {
-        latency_objective: words.span("target", 2.0),
-        deadline: words.span("deadline", 20.0),
+        latency_objective: words.duration("target", 2.0),
+        deadline: words.duration("deadline", 20.0),
         priority_weight: words.number("value", 1.0),
         late_weight_share: words.number("late", 0.3),
         idempotency: match words.plain[1] {
             "retriable" => Idempotency::Idempotent,
-            "keyed" => Idempotency::WithKey { window: words.span("memory", 5.0), scope },
+            "keyed" => Idempotency::WithKey { window: words.duration("memory", 5.0), scope },
             _ => Idempotency::NotIdempotent,
         },
         in_order: words.has("ordered"),
@@ -149,11 +155,11 @@
         tenant_quotas: vec![words.number("quota", 1e6); 2],
         listed_rate: if words.has("untold") { ListedRate::Unknown } else { ListedRate::Exact },
         requires_polling: words.has("watch"),
-        poll_interval: words.span("ask", 0.0),
+        poll_interval: words.duration("ask", 0.0),
         may_cancel: true,
-        max_retry_after: words.span("pause", 3.0),
+        max_retry_after: words.duration("pause", 3.0),
         drain_grace: Duration::from_secs(1),
-        order_hold_off: words.span("rest", 0.3),
+        order_hold_off: words.duration("rest", 0.3),
         slow_start_share: 0.3,
         slow_start_duration: Duration::from_secs(10),
         overload_multiple: 1.5,
@@ -197,7 +203,7 @@
     let outcome = match words.plain[3] {
         "delivered" => Outcome::Delivered,
         "error" => Outcome::Error,
-        "full" => Outcome::Rejected { retry_after: words.span("wait", 0.0) },
+        "full" => Outcome::Rejected { retry_after: words.duration("wait", 0.0) },
         "noroom" => Outcome::ConnectionLimit,
         "timeout" => Outcome::TimedOut,
         "unconnected" => Outcome::ConnectFailed,
@@ -209,7 +215,7 @@
     Input::AttemptEnded {
         message: words.message(),
         endpoint: words.endpoint(2),
-        elapsed: words.span("took", 0.1),
+        elapsed: words.duration("took", 0.1),
         outcome,
         run: if words.has("running") { RunState::MayBeRunning } else { RunState::from_outcome(outcome) },
         closed: matches!(outcome, Outcome::Delivered | Outcome::NotSent),
@@ -220,7 +226,7 @@
     Input::EarlierAttempt {
         message: words.message(),
         zone: words.zone(),
-        at: now.saturating_sub(words.span("ago", 0.0)),
+        at: now.saturating_sub(words.duration("ago", 0.0)),
         may_have_run: !words.has("refused"),
     }
 }
@@ -236,7 +242,9 @@
         "gone" => vec![Input::Closed(words.message())],
         "leg" => vec![earlier_attempt(&words, now)],
         "ended" => vec![Input::FinalAnswerPending(words.message())],
-        "wait" => vec![Input::RetryAfter { endpoint: words.endpoint(1), duration: words.span("for", 0.0) }],
+        "wait" => {
+            vec![Input::RetryAfter { endpoint: words.endpoint(1), duration: words.duration("for", 0.0) }]
+        }
         "limit" => {
             vec![Input::RateLimitReported { endpoint: words.endpoint(1), rate: words.number("rate", 0.0) }]
         }
