--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// Returns a relay's fair share of the rate. It is above the even share in a large fleet, where a relay's
-/// traffic is uneven and a low rate would delay messages for long.
+/// Returns a relay's fair share of the rate. In a large fleet it exceeds the even share of a low rate, as a
+/// relay's traffic is uneven and the even share would delay messages for long.
 fn fair_share(settings: &PolicySettings, rate: f64) -> f64 {
     let min_rate = if settings.relay_count > LARGE_FLEET { LARGE_FLEET_RATE_MIN } else { 0.0 };
     (min_rate / rate.max(1.0)).clamp(1.0 / f64::from(settings.relay_count), 1.0)
--- a/src/policy/safety.rs
+++ b/src/policy/safety.rs
@@ -1,4 +1,5 @@
-//! The one place where the six rules of the crate's documentation are enforced: every send is checked here.
+//! The one place where the six rules of the crate's documentation are enforced: every send is checked here,
+//! whatever other modules decided.
 
 use super::{retry, timeouts};
 use crate::interface::*;
