--- a/crates/lab/src/host/dispatcher.rs
+++ b/crates/lab/src/host/dispatcher.rs
@@ -77,9 +77,9 @@
 }
 
 impl Actions for DispatcherState {
-    fn send(&mut self, message: MessageId, endpoint: EndpointId, limit: Duration) {
+    fn send(&mut self, message: MessageId, endpoint: EndpointId, timeout: Duration) {
         let endpoint = endpoint_number(endpoint);
-        let attempt = QueuedAttempt { message: message.0, timeout: limit.as_micros() as u64 };
+        let attempt = QueuedAttempt { message: message.0, timeout: timeout.as_micros() as u64 };
         match self.queued.iter_mut().find(|queued| queued.endpoint == endpoint) {
             Some(queued) => queued.attempts.push(attempt),
             None => self.queued.push(QueuedAttempts { endpoint, attempts: vec![attempt] }),
@@ -114,8 +114,8 @@
         self.close_idle_connections(endpoint);
     }
 
-    fn wake_after(&mut self, span: Duration) {
-        let at = self.now + span.as_micros() as u64;
+    fn wake_after(&mut self, delay: Duration) {
+        let at = self.now + delay.as_micros() as u64;
         self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
     }
 
@@ -231,7 +231,7 @@
                 endpoint: ended.endpoint,
                 retry_after,
             });
-            inputs.push(Input::RetryAfter { endpoint, span: Duration::from_micros(retry_after) });
+            inputs.push(Input::RetryAfter { endpoint, duration: Duration::from_micros(retry_after) });
         }
         let elapsed = Duration::from_micros(self.now.saturating_sub(ended.sent_at));
         for attempt in ends {
--- a/crates/simulation-adapter/src/reply.rs
+++ b/crates/simulation-adapter/src/reply.rs
@@ -63,10 +63,11 @@
 }
 
 impl Actions for Reply {
-    fn send(&mut self, message: MessageId, endpoint: EndpointId, limit: Duration) {
-        // On the wire a limit of zero means no limit.
-        let limit = limit.max(Duration::from_micros(1));
-        let fields: [&[u8]; 3] = [&message.0.to_le_bytes(), &endpoint_bytes(endpoint), &microseconds(limit)];
+    fn send(&mut self, message: MessageId, endpoint: EndpointId, timeout: Duration) {
+        // On the wire a timeout of zero means no timeout.
+        let timeout = timeout.max(Duration::from_micros(1));
+        let fields: [&[u8]; 3] =
+            [&message.0.to_le_bytes(), &endpoint_bytes(endpoint), &microseconds(timeout)];
         self.record(ReplyCode::Send, &fields);
     }
 
@@ -92,9 +93,9 @@
     /// them.
     fn forget_endpoint(&mut self, _endpoint: EndpointId) {}
 
-    fn wake_after(&mut self, span: Duration) {
+    fn wake_after(&mut self, delay: Duration) {
         // The timer's id follows; the adapter needs only one.
-        self.record(ReplyCode::WakeAfter, &[&microseconds(span), &[0; 4]]);
+        self.record(ReplyCode::WakeAfter, &[&microseconds(delay), &[0; 4]]);
     }
 
     fn poll_endpoints(&mut self) {
--- a/src/interface/input.rs
+++ b/src/interface/input.rs
@@ -48,7 +48,7 @@
         /// The endpoint that sent it.
         endpoint: EndpointId,
         /// Its duration, from now on.
-        span: Duration,
+        duration: Duration,
     },
     /// A response reported a rate limit for all relays together, which is late and inexact.
     RateLimitReported {
@@ -73,7 +73,7 @@
     /// The endpoint was restarted while it was in maintenance.
     EndpointRestarted(EndpointId),
     /// A successor takes over the messages of this process: no attempt is sent from now on. Final answers that
-    /// are due are still given.
+    /// are due are still sent.
     HandoverStarted,
     /// Route state of an earlier process of this relay, with times since this process's start.
     RoutesRestored(Vec<RouteSnapshot>),
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -9,7 +9,7 @@
 /// Maximum wait for discovery before a possibly stale list is used; discovery responds sooner or is down.
 const LIST_REFRESH_TIMEOUT: Duration = Duration::from_millis(500);
 
-pub(super) fn endpoint_listed(state: &mut State, listed: ListedEndpoint) {
+pub(super) fn update_endpoint(state: &mut State, listed: ListedEndpoint) {
     let new = Endpoint::new(&listed, state.route_id(&listed), CONCURRENCY_LIMIT_INITIAL);
     state.endpoints.update(listed.endpoint, new, listed.status, state.now);
     let rate = if listed.rate.is_finite() { listed.rate.max(0.0) } else { 0.0 };
@@ -23,20 +23,20 @@
 
 /// Rule 3: the list held at a start may be stale, as discovery may have reported a drain while no process
 /// ran. Nothing is sent until discovery responds, which delays a start while discovery is down.
-pub(super) fn list_may_be_stale(state: &mut State) {
+pub(super) fn await_list_refresh(state: &mut State) {
     state.list_awaited_until = Some(state.now + LIST_REFRESH_TIMEOUT);
 }
 
 pub(super) fn schedule_first_poll(state: &mut State) {
-    let pause = poll_schedule(state).initial_delay(state.jitter.draw(0));
-    state.poll_at = state.settings.requires_polling.then_some(pause);
+    let delay = poll_schedule(state).initial_delay(state.jitter.draw(0));
+    state.poll_at = state.settings.requires_polling.then_some(delay);
 }
 
-pub(super) fn poll_failed(state: &mut State, retry_after: Option<Duration>) {
+pub(super) fn record_poll_failure(state: &mut State, retry_after: Option<Duration>) {
     state.poll_failures += 1;
     let jitter = state.jitter.draw(0);
-    let pause = poll_schedule(state).retry_delay(state.poll_failures, retry_after, jitter);
-    state.poll_at = state.settings.requires_polling.then_some(state.now + pause);
+    let delay = poll_schedule(state).retry_delay(state.poll_failures, retry_after, jitter);
+    state.poll_at = state.settings.requires_polling.then_some(state.now + delay);
 }
 
 pub(super) fn poll_if_due(state: &mut State, out: &mut dyn Actions) {
@@ -50,7 +50,7 @@
     PollSchedule { relay_count: state.settings.relay_count, poll_interval: state.settings.poll_interval }
 }
 
-/// Forgets unavailable endpoints that no rule still needs, as tables would otherwise grow without limit.
+/// Forgets unavailable endpoints that no rule needs any more; otherwise the tables would grow without limit.
 pub(super) fn forget_unused_endpoints(state: &mut State, out: &mut dyn Actions) {
     for id in state.endpoints.unused(state.now, state.settings.drain_grace) {
         let route_id = state.endpoints[id].route;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -116,14 +116,14 @@
     }
 
     /// Rule 6: applies a `Retry-After` to the route, from any response and however late it arrives.
-    pub(crate) fn extend_retry_after(&mut self, endpoint: EndpointId, span: Duration) {
-        let until = self.now + span;
-        if let Some(route) = self.route_of_mut(endpoint).filter(|_| span > Duration::ZERO) {
+    pub(crate) fn extend_retry_after(&mut self, endpoint: EndpointId, duration: Duration) {
+        let until = self.now + duration;
+        if let Some(route) = self.route_of_mut(endpoint).filter(|_| duration > Duration::ZERO) {
             route.extend_retry_after(until);
         }
     }
 
-    /// Starts a slow start of the endpoint's route, as an endpoint is cold after maintenance (rule 4).
+    /// Starts a slow start of the endpoint's route, as an endpoint is cold after a restart (rule 4).
     pub(crate) fn start_slow_start(&mut self, endpoint: EndpointId) {
         let now = self.now;
         if let Some(route) = self.route_of_mut(endpoint) {
@@ -132,7 +132,7 @@
     }
 
     /// Records that discovery responded.
-    pub(crate) fn list_received(&mut self) {
+    pub(crate) fn record_list_received(&mut self) {
         self.list_awaited_until = None;
         self.poll_failures = 0;
     }
@@ -156,7 +156,7 @@
         if call.is_over {
             self.idle_review_queue.push(call.endpoint);
             if let Some(endpoint) = self.endpoints.get_mut(call.endpoint) {
-                endpoint.call_ended(self.now);
+                endpoint.record_call_end(self.now);
                 let connected = self.consecutive_connected_calls.entry(endpoint.kind).or_default();
                 *connected = if was_refused { 0 } else { connected.saturating_add(1) };
             }
