--- a/crates/relay/src/dispatch/endpoint_list.rs
+++ b/crates/relay/src/dispatch/endpoint_list.rs
@@ -43,7 +43,8 @@
         if overridden_ready_count > 0 {
             let revision = list.revision;
             info!(
-                "list {revision}: {overridden_ready_count} entries say ready of endpoints told as leaving; they stay so"
+                "list {revision}: {overridden_ready_count} endpoints are listed as ready but recorded as draining or \
+                removed; the record takes precedence"
             );
         }
         for (entry, phase) in list.entries.iter_mut().zip(phases) {
--- a/crates/relay/tests/relay/discovery.rs
+++ b/crates/relay/tests/relay/discovery.rs
@@ -35,7 +35,9 @@
     let relay = Relay::start_with_discovery(&fixture.config, fixture.dir.path(), Some(silent.address));
     assert_eq!(relay.submit("m1", 0, "c=any,d=1500,dest=7", b""), "+OK");
     sleep(ms(1_000));
-    assert!(fixture.log().contains("1 entries say ready of endpoints told as leaving; they stay so"));
+    assert!(fixture.log().contains(
+        "1 endpoints are listed as ready but recorded as draining or removed; the record takes precedence"
+    ));
     drop(relay);
     let _relay = fixture.start_relay();
     wait_until("the call", || new.ids() == ["m1"]);
