--- a/crates/relay/src/dispatch/actions.rs
+++ b/crates/relay/src/dispatch/actions.rs
@@ -63,7 +63,7 @@
         let name = self.endpoints.get(endpoint).map(|known| known.name.clone());
         let in_maintenance = name.is_some_and(|name| self.maintenance.borrow().is_in_maintenance(&name));
         if let Some(forgotten) = self.endpoints.forget(endpoint, in_maintenance) {
-            let suffix = if in_maintenance { " while out by hand" } else { "" };
+            let suffix = if in_maintenance { " while in maintenance" } else { "" };
             info!("endpoint {} is forgotten{suffix}", forgotten.name);
         }
     }
--- a/crates/relay/tests/operations.rs
+++ b/crates/relay/tests/operations.rs
@@ -189,7 +189,9 @@
     assert_eq!(relay.wait_for_exit_code(), Some(0));
     let relay = Relay::start(&fixture.config, fixture.dir.path());
     let log = || std::fs::read_to_string(fixture.dir.path().join("log")).unwrap_or_default();
-    wait_until("the endpoint to be forgotten", || log().contains("forgotten while out by hand"));
+    wait_until("the endpoint to be forgotten", || {
+        log().contains("endpoint e1 is forgotten while in maintenance")
+    });
     for n in 0..5 {
         assert_eq!(relay.submit(&format!("a{n}"), 0, "c=any,d=8000,dest=7", b""), "+OK");
     }
