--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -270,7 +270,7 @@
         if plan.is_handover {
             self.is_handing_over = true;
             self.files.write_handover_marker();
-            info!("relay hands over to the process beside it, and makes no further attempts");
+            info!("relay hands over to its successor process and makes no further attempts");
             inputs.push(Input::HandoverStarted);
         }
     }
--- a/crates/relay/tests/handover/failing_folder.rs
+++ b/crates/relay/tests/handover/failing_folder.rs
@@ -67,7 +67,7 @@
     wait_until("the stop", || fixture.log().contains("told to stop"));
     active_connection.write_all(second_half).expect("send the second half");
     let reply = Client(BufReader::new(active_connection)).read_reply();
-    let hands_over = fixture.log().contains("hands over to the process beside it");
+    let hands_over = fixture.log().contains("hands over to its successor process");
     assert!(!hands_over || reply == "-BUSY", "{call}, {target:?}: the successor may accept ordered messages");
     let accepted: &[&str] = if reply == "+OK" { &["late", "first", "second"] } else { &["first", "second"] };
     set(SystemCallFault::default());
--- a/crates/relay/tests/handover/main.rs
+++ b/crates/relay/tests/handover/main.rs
@@ -45,7 +45,7 @@
     active.terminate();
     // The log records the stop signal before the dispatcher handles it. The successor accepts ordered messages only once
     // the dispatcher hands over.
-    wait_until("the handover", || fixture.log().contains("hands over to the process beside it"));
+    wait_until("the handover", || fixture.log().contains("hands over to its successor process"));
     fixture.submit("m2", 5, "pay");
     assert_eq!(fixture.endpoint.ids(), ["m1"]);
     fixture.gate.open();
--- a/crates/relay/tests/handover/stale_marker.rs
+++ b/crates/relay/tests/handover/stale_marker.rs
@@ -108,7 +108,7 @@
     fixture.submit("beside", 0, "once");
     active.signal("CONT");
     active.terminate();
-    wait_until("the handover", || fixture.log().contains("hands over to the process beside it"));
+    wait_until("the handover", || fixture.log().contains("hands over to its successor process"));
     assert_eq!(fixture.submit_reply("in-order", 5, "pay"), "-BUSY", "its position within the key is unknown");
     fixture.gate.open();
     assert!(active.exits_within(ms(3_600)));
--- a/crates/relay/tests/handover/successor.rs
+++ b/crates/relay/tests/handover/successor.rs
@@ -222,7 +222,7 @@
     if takes_over {
         active.signal("CONT");
         active.terminate();
-        wait_until("the handover", || fixture.log().contains("hands over to the process beside it"));
+        wait_until("the handover", || fixture.log().contains("hands over to its successor process"));
         active.signal("KILL");
         assert!(active.exits_within(ms(3_600)));
         fixture.wait_for_ownership(1);
