--- a/crates/relay/src/dispatch/shutdown.rs
+++ b/crates/relay/src/dispatch/shutdown.rs
@@ -84,7 +84,7 @@
         let calls = self.state.calls_in_flight.len();
         let stored = self.state.spool.borrow().messages().len();
         let violations = self.state.violations.total();
-        info!("stopped with {calls} calls out, {stored} messages kept, {violations} violations");
+        info!("stopped with {calls} calls in flight, {stored} messages kept, {violations} violations");
     }
 }
 
--- a/crates/relay/tests/races.rs
+++ b/crates/relay/tests/races.rs
@@ -137,7 +137,7 @@
     wait_until("the stop", || fixture.log().contains("told to stop, for a restart"));
     gate.open();
     assert_eq!(relay.wait_for_exit_code(), Some(0));
-    assert!(fixture.log().contains("stopped with 0 calls out, 0 messages kept"), "{}", fixture.log());
+    assert!(fixture.log().contains("stopped with 0 calls in flight, 0 messages kept"), "{}", fixture.log());
     let _relay = fixture.start_relay();
     assert_eq!(endpoint.ids(), ["m1"]);
 }
@@ -345,7 +345,7 @@
     wait_until("the call", || old.ids() == ["m1", "m2"]);
     relay.signal("TERM");
     assert_eq!(relay.wait_for_exit_code(), Some(0));
-    assert!(fixture.log().contains("stopped with 0 calls out, 0 messages kept"), "{}", fixture.log());
+    assert!(fixture.log().contains("stopped with 0 calls in flight, 0 messages kept"), "{}", fixture.log());
     assert!(fixture.platform.notifications().is_empty(), "{:?}", fixture.platform.notifications());
 }
 
--- a/crates/relay/tests/relay/restarts.rs
+++ b/crates/relay/tests/relay/restarts.rs
@@ -220,7 +220,7 @@
     relay.signal("TERM");
     assert_eq!(relay.wait_for_exit_code(), Some(0));
     assert!(start.elapsed() < ms(3_700), "{:?}", start.elapsed());
-    assert!(fixture.log().contains("stopped with 1 calls out, 1 messages kept"));
+    assert!(fixture.log().contains("stopped with 1 calls in flight, 1 messages kept"));
 }
 
 #[test]
