--- a/crates/relay/src/dispatch/restore.rs
+++ b/crates/relay/src/dispatch/restore.rs
@@ -23,7 +23,7 @@
         for route in &snapshot.routes {
             restored.extend(self.restored_route(route));
         }
-        info!("restores {} routes of the process before", restored.len());
+        info!("restored {} routes of the previous process", restored.len());
         inputs.push(Input::RoutesRestored(restored));
     }
 
--- a/crates/relay/tests/stored_data.rs
+++ b/crates/relay/tests/stored_data.rs
@@ -253,7 +253,7 @@
     let snapshot = write_shifted_state(&state);
     drop(active_lock);
     wait_until("the routes", || {
-        destinations.fixture.log().contains("restores 2 routes of the process before")
+        destinations.fixture.log().contains("restored 2 routes of the previous process")
     });
     wait_until("the first calls", || {
         !destinations.ids("e7").is_empty() && !destinations.ids("e8").is_empty()
