--- a/crates/relay/src/dispatch/calls.rs
+++ b/crates/relay/src/dispatch/calls.rs
@@ -62,7 +62,7 @@
             SendError::OutOfOrder => {
                 let state = self.policy.borrow().ordering_state(message, now);
                 let expected = format!("next of its key, is {}", describe_ordering_state(spool, state));
-                self.report(ViolationKind::OutOfTurn, spool, message, &expected);
+                self.report(ViolationKind::OutOfOrder, spool, message, &expected);
             }
             _ => {}
         }
@@ -83,7 +83,7 @@
         );
         if gap < self.order_hold_off {
             let expected = format!("hold-off after message {earlier} in call {earlier_call}, was {gap:?}");
-            self.report(ViolationKind::OutOfTurn, spool, message, &expected);
+            self.report(ViolationKind::OutOfOrder, spool, message, &expected);
         }
     }
 
--- a/crates/relay/src/violations.rs
+++ b/crates/relay/src/violations.rs
@@ -17,7 +17,7 @@
     /// The relay closed a client connection before it had answered every request that it read.
     ClosedOwingAnswer,
     /// A message was about to be sent before an earlier message of its ordering key.
-    OutOfTurn,
+    OutOfOrder,
 }
 
 impl ViolationKind {
@@ -26,7 +26,7 @@
         ViolationKind::UnsafeRepeat,
         ViolationKind::SecondFinalAnswer,
         ViolationKind::ClosedOwingAnswer,
-        ViolationKind::OutOfTurn,
+        ViolationKind::OutOfOrder,
     ];
 
     /// Returns the name in metrics and log lines.
@@ -35,7 +35,7 @@
             ViolationKind::UnsafeRepeat => "unsafe_repeat",
             ViolationKind::SecondFinalAnswer => "second_final_answer",
             ViolationKind::ClosedOwingAnswer => "closed_owing_answer",
-            ViolationKind::OutOfTurn => "out_of_turn",
+            ViolationKind::OutOfOrder => "out_of_turn",
         }
     }
 }
--- a/crates/relay/tests/operations.rs
+++ b/crates/relay/tests/operations.rs
@@ -210,7 +210,7 @@
     let metrics = || response_to(fixture.admin_address, b"GET /metrics HTTP/1.1\r\n\r\n");
     wait_until("the delivery", || metrics().contains("mountshift_final_answers_total{kind=\"delivered\"} 1"));
     let text = metrics();
-    for kind in ["unsafe_repeat", "second_final_answer", "closed_owing_answer"] {
+    for kind in ["unsafe_repeat", "second_final_answer", "closed_owing_answer", "out_of_turn"] {
         let line = format!("mountshift_violations_total{{kind=\"{kind}\"}} 0");
         assert!(text.contains(&line), "{text}");
     }
