--- a/crates/relay/src/clients/mod.rs
+++ b/crates/relay/src/clients/mod.rs
@@ -281,7 +281,7 @@
             expected: "an answer to every request that was read",
             ..Evidence::default()
         };
-        service.config.violations.report(ViolationKind::ClosedOwingAnswer, evidence);
+        service.config.violations.report(ViolationKind::ClosedWithUnansweredRequest, evidence);
     }
 }
 
--- a/crates/relay/src/violations.rs
+++ b/crates/relay/src/violations.rs
@@ -15,7 +15,7 @@
     /// A message got a second final answer.
     SecondFinalAnswer,
     /// The relay closed a client connection before it had answered every request that it read.
-    ClosedOwingAnswer,
+    ClosedWithUnansweredRequest,
     /// A message was about to be sent before an earlier message of its ordering key.
     OutOfOrder,
 }
@@ -25,7 +25,7 @@
     pub(crate) const ALL: [ViolationKind; 4] = [
         ViolationKind::UnsafeRepeat,
         ViolationKind::SecondFinalAnswer,
-        ViolationKind::ClosedOwingAnswer,
+        ViolationKind::ClosedWithUnansweredRequest,
         ViolationKind::OutOfOrder,
     ];
 
@@ -34,7 +34,7 @@
         match self {
             ViolationKind::UnsafeRepeat => "unsafe_repeat",
             ViolationKind::SecondFinalAnswer => "second_final_answer",
-            ViolationKind::ClosedOwingAnswer => "closed_owing_answer",
+            ViolationKind::ClosedWithUnansweredRequest => "closed_owing_answer",
             ViolationKind::OutOfOrder => "out_of_turn",
         }
     }
