--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -102,7 +102,7 @@
     }
 
     /// Counts a hold-off of an ordering key after an attempt with this outcome that may still be running.
-    pub(crate) fn count_key_rest(&self, outcome: &str) {
+    pub(crate) fn count_key_hold_off(&self, outcome: &str) {
         self.counters.key_rests.get_or_create(&label(outcome)).inc();
     }
 
