--- a/crates/relay/src/notifications.rs
+++ b/crates/relay/src/notifications.rs
@@ -1,4 +1,4 @@
-//! Notifications of final outcomes other than deliveries, sent to the platform until each one is accepted.
+//! Notifications of final outcomes other than deliveries, sent to the platform until each one is acknowledged.
 
 use crate::discovery::next_address;
 use crate::upstream::{HttpConnection, encode_request, exchange};
@@ -20,8 +20,8 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// Maximum number of notifications in a call.
 const MAX_BATCH: usize = 500;
-/// Status code of a call whose notifications were all accepted.
-const STATUS_ACCEPTED: u16 = 204;
+/// Status code of a call whose notifications are all acknowledged.
+const STATUS_ACKNOWLEDGED: u16 = 204;
 /// Status code of a call with an invalid notification.
 const STATUS_INVALID: u16 = 400;
 
@@ -62,7 +62,7 @@
     /// Channel of new addresses of the platform.
     moves: Receiver<SocketAddr>,
     queue: Receiver<Notification>,
-    /// Notifications removed from the queue but not accepted by the platform yet.
+    /// Notifications removed from the queue but not acknowledged by the platform yet.
     waiting: Vec<Notification>,
     connection: Option<HttpConnection>,
     consecutive_failures: u32,
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Runs until the queue is closed; calls `on_accepted` with the messages of the accepted notifications.
-    pub(crate) async fn run(mut self, on_accepted: impl Fn(Vec<MessageId>)) {
+    /// Runs until the queue is closed; calls `on_acknowledged` with the messages of the acknowledged notifications.
+    pub(crate) async fn run(mut self, on_acknowledged: impl Fn(Vec<MessageId>)) {
         while let Some(batch) = self.next_batch().await {
             match self.call_or_move(&batch).await {
                 CallEnd::Moved(address) => {
@@ -97,12 +97,12 @@
                     self.move_to(address);
                     self.waiting.splice(0..0, batch);
                 }
-                CallEnd::Answered(Ok(STATUS_ACCEPTED)) => {
-                    on_accepted(batch.iter().map(|notification| notification.message).collect());
+                CallEnd::Answered(Ok(STATUS_ACKNOWLEDGED)) => {
+                    on_acknowledged(batch.iter().map(|notification| notification.message).collect());
                     self.batch_limit = MAX_BATCH.min(self.batch_limit * 2);
                     self.consecutive_failures = 0;
                 }
-                CallEnd::Answered(result) => self.on_not_accepted(batch, result).await,
+                CallEnd::Answered(result) => self.on_not_acknowledged(batch, result).await,
             }
         }
     }
@@ -152,10 +152,10 @@
         answer.map(|answer| answer.status).map_err(|e| e.to_string())
     }
 
-    async fn on_not_accepted(&mut self, batch: Vec<Notification>, result: CallResult) {
+    async fn on_not_acknowledged(&mut self, batch: Vec<Notification>, result: CallResult) {
         // Logged once per series of failures, to bound the log during an outage.
         if self.consecutive_failures == 0 {
-            warn!("notices: {} notifications not accepted by the platform: {result:?}", batch.len());
+            warn!("notices: {} notifications not acknowledged by the platform: {result:?}", batch.len());
         }
         self.consecutive_failures += 1;
         if result == Ok(STATUS_INVALID) {
--- a/crates/relay/tests/handover/main.rs
+++ b/crates/relay/tests/handover/main.rs
@@ -105,7 +105,7 @@
     assert!(fixture.platform.notifications().is_empty(), "{:?}", fixture.platform.notifications());
 }
 
-// A notification that the platform has not accepted before the handover is sent again by the successor.
+// A notification that the platform has not acknowledged before the handover is sent again by the successor.
 #[test]
 fn pending_notification_at_a_handover_is_sent_by_the_successor() {
     let fixture = upgrade_fixture_with(usize::MAX, 500);
--- a/crates/relay/tests/handover/upgrade.rs
+++ b/crates/relay/tests/handover/upgrade.rs
@@ -20,7 +20,7 @@
     pub(crate) listen: SocketAddr,
 }
 
-/// Returns a fixture whose endpoint responds with 200 and whose platform accepts every notification.
+/// Returns a fixture whose endpoint responds with 200 and whose platform acknowledges every notification.
 pub(crate) fn upgrade_fixture() -> UpgradeFixture {
     upgrade_fixture_with(0, 200)
 }
--- a/crates/relay/tests/races.rs
+++ b/crates/relay/tests/races.rs
@@ -428,7 +428,7 @@
     assert_eq!(relay.submit("pay2", 5, "c=pay,d=15000,dest=7", b"2"), "+OK");
     wait_until("the notification", || fixture.platform.notifications().len() == 1);
     let ended = std::time::Instant::now();
-    // By then the notification is accepted and the message forgotten.
+    // By then the notification is acknowledged and the message is forgotten.
     std::thread::sleep(ms(200));
     relay.signal("KILL");
     drop(relay);
--- a/crates/relay/tests/relay/calls.rs
+++ b/crates/relay/tests/relay/calls.rs
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn notification_is_retried_until_accepted_and_blocks_its_key() {
+fn notification_is_retried_until_acknowledged_and_blocks_its_key() {
     let endpoint = Server::start(|r| if r.ids()[0] == "m1" { respond(500, "", "") } else { ok() });
     let fixture = fixture(3, vec![member("e1", endpoint.address, 7, "single")]);
     let relay = fixture.start_relay();
@@ -305,7 +305,7 @@
     assert_eq!(fixture.platform.notifications(), [r#"{"id":"m1","state":"failed"}"#; 4]);
     let notified_at =
         fixture.platform.server.requests().iter().rfind(|r| r.path == "/status").expect("a notification").at;
-    assert!(endpoint.requests()[1].at > notified_at, "sent before the notification was accepted");
+    assert!(endpoint.requests()[1].at > notified_at, "sent before the notification was acknowledged");
 }
 
 #[test]
