--- a/crates/relay/src/clients/mod.rs
+++ b/crates/relay/src/clients/mod.rs
@@ -278,7 +278,7 @@
     if unanswered > 0 && !reason.is_caused_by_client() {
         let evidence = Evidence {
             connection: Some(connection.number),
-            expected: "an answer to every request that was read",
+            expected: "a reply to every request that was read",
             ..Evidence::default()
         };
         service.config.violations.report(ViolationKind::ClosedWithUnansweredRequest, evidence);
--- a/crates/relay/src/clients/tests.rs
+++ b/crates/relay/src/clients/tests.rs
@@ -92,8 +92,8 @@
         }
         // The rest is in the buffer; the process exits before the first ones get their replies.
         fixture.ending.close();
-        for answer in &waiting {
-            answer.try_send(SubmissionReply::Accepted(MessageId(1))).expect("waited for");
+        for reply_to in &waiting {
+            reply_to.try_send(SubmissionReply::Accepted(MessageId(1))).expect("the connection waits");
         }
         assert_eq!(
             read_all(&mut client).await,
@@ -172,7 +172,7 @@
     futures_lite::AsyncReadExt::read_exact(client, &mut reply).await.expect("a reply");
     assert_eq!(&reply, b"-BUSY\r\n");
     for piece in [&rest[..2], &rest[2..]] {
-        client.get_ref().write_all(piece.as_bytes()).expect("taken");
+        client.get_ref().write_all(piece.as_bytes()).expect("written");
     }
     let mut text = Vec::new();
     let read = futures_lite::AsyncReadExt::read_to_end(client, &mut text).await;
@@ -245,7 +245,7 @@
     run_test(&executor, async {
         for message in [1, 2] {
             let reply = fixture.submitted.recv().await.expect("a message");
-            reply.try_send(SubmissionReply::Accepted(MessageId(message))).expect("waited for");
+            reply.try_send(SubmissionReply::Accepted(MessageId(message))).expect("the connection waits");
         }
         for stream in [early, late] {
             let mut stream = Async::new(stream).expect("a stream");
--- a/crates/relay/src/dispatch/calls.rs
+++ b/crates/relay/src/dispatch/calls.rs
@@ -57,11 +57,19 @@
         // after the decision and are no violations.
         match refusal {
             SendError::UnsafeRepeat => {
-                self.report(ViolationKind::UnsafeRepeat, spool, message, "no earlier possible run");
+                self.report(
+                    ViolationKind::UnsafeRepeat,
+                    spool,
+                    message,
+                    "no earlier attempt that may have run",
+                );
             }
             SendError::OutOfOrder => {
                 let state = self.policy.borrow().ordering_state(message, now);
-                let expected = format!("next of its key, is {}", describe_ordering_state(spool, state));
+                let expected = format!(
+                    "to be the next message of its key, but is {}",
+                    describe_ordering_state(spool, state)
+                );
                 self.report(ViolationKind::OutOfOrder, spool, message, &expected);
             }
             _ => {}
@@ -82,7 +90,9 @@
             "key {key:016x}: call {call} starts {gap:?} after call {earlier_call} of message {earlier} ended"
         );
         if gap < self.order_hold_off {
-            let expected = format!("hold-off after message {earlier} in call {earlier_call}, was {gap:?}");
+            let expected = format!(
+                "a full hold-off after message {earlier} in call {earlier_call}, but it lasted {gap:?}"
+            );
             self.report(ViolationKind::OutOfOrder, spool, message, &expected);
         }
     }
@@ -110,7 +120,7 @@
     }
 }
 
-/// Returns the maximum number of bytes of a message in a call with several messages.
+/// Returns an upper bound of the bytes that a message takes in a call with several messages.
 pub(super) fn batch_entry_bytes(accepted: &AcceptedMessage) -> usize {
     upstream::max_batch_entry_bytes(&accepted.id, &accepted.metadata, &accepted.body)
 }
@@ -165,7 +175,8 @@
     }
 
     /// Commits the records of the spool. Returns whether they are committed. Records don't count as committed before
-    /// the time anchor is written: without it a later process would interpret their times by its own wall clock.
+    /// the time anchor (the `clock` file) is written: without it a later process would interpret their times by its own
+    /// wall clock.
     pub(super) fn commit_spool(&mut self) -> bool {
         if !self.files.is_anchor_written() {
             self.files.retry_unwritten();
@@ -183,7 +194,7 @@
                 self.spool_failure_logged = true;
             }
             Ok(()) if self.spool_failure_logged => {
-                info!("spool: written again");
+                info!("spool: can be written again");
                 self.spool_failure_logged = false;
             }
             _ => {}
@@ -219,8 +230,8 @@
         }
     }
 
-    /// Starts a call. While the spool can't be written, sends only messages that may be sent without a record; the
-    /// others end with a local failure and wait.
+    /// Starts a call. While the spool can't be written, makes the call only if all its messages may be sent without a
+    /// record; otherwise its attempts end with a local failure and the messages wait.
     fn start_call(&mut self, planned: PlannedCall, is_committed: bool) {
         self.last_call_number += 1;
         let number = CallNumber(self.last_call_number);
@@ -345,7 +356,7 @@
             if attempts.iter().any(|attempt| attempt.needs_record) {
                 return Err(Outcome::LocalFailure);
             }
-            // Committed with the next commit of the spool.
+            // These records are stored by the next commit of the spool.
             for number in numbers {
                 spool.record_attempt(number, &zone, at_ms);
             }
--- a/crates/relay/src/dispatch/dependencies.rs
+++ b/crates/relay/src/dispatch/dependencies.rs
@@ -51,7 +51,7 @@
     pub(crate) violations: Rc<Violations>,
     /// Closed once client connections must be closed.
     pub(crate) clients_stopping: Receiver<()>,
-    /// Closed by the dispatcher shortly before the process exits: clients get the outstanding replies, no further
-    /// request is read.
+    /// Closed by the dispatcher shortly before the process exits: clients get the outstanding replies, and further
+    /// requests are rejected.
     pub(crate) clients_ending: Sender<()>,
 }
--- a/crates/relay/src/dispatch/event.rs
+++ b/crates/relay/src/dispatch/event.rs
@@ -30,6 +30,6 @@
     NotificationsAcknowledged(Vec<MessageId>),
     /// An operator's command changed the maintenance state.
     MaintenanceChanged(Change),
-    /// The process was requested to stop, by this plan.
+    /// The process was requested to stop, with this plan.
     StopRequested(StopPlan),
 }
--- a/crates/relay/src/dispatch/mod.rs
+++ b/crates/relay/src/dispatch/mod.rs
@@ -48,7 +48,7 @@
     client_connections: Rc<Cell<usize>>,
     /// Closed once client connections must be closed.
     clients_stopping: Receiver<()>,
-    /// Closed shortly before the process exits: clients get the outstanding replies, no further request is read.
+    /// Closed shortly before the process exits: clients get the outstanding replies, and further requests are rejected.
     clients_ending: Sender<()>,
 }
 
--- a/crates/relay/src/dispatch/restore.rs
+++ b/crates/relay/src/dispatch/restore.rs
@@ -10,7 +10,7 @@
 use mountshift_spool::{AcceptedMessage, AttemptRecord, FinalOutcome, StoredMessage};
 use std::time::Duration;
 
-/// Minimum of a restored time. Zero means "none" or "due now".
+/// Minimum of a restored time that is not zero: zero means "none" or "due now".
 const MIN_NONZERO_TIME: Duration = Duration::from_millis(1);
 
 impl DispatcherState {
--- a/crates/relay/src/dispatch/state.rs
+++ b/crates/relay/src/dispatch/state.rs
@@ -194,7 +194,7 @@
     pub(super) fn end_undelivered(
         &mut self,
         message: MessageId,
-        answer: SubmissionReply,
+        reply: SubmissionReply,
         outcome: FinalOutcome,
     ) -> bool {
         self.log_undelivered(message, outcome);
@@ -205,7 +205,7 @@
             FinalOutcome::Failed => "failed",
             FinalOutcome::Rejected(_) => "rejected",
         });
-        if self.acceptances.reply_final(message, answer) {
+        if self.acceptances.reply_final(message, reply) {
             self.remove_message(message);
             return true;
         }
@@ -296,8 +296,8 @@
         }
     }
 
-    /// Removes a closed message; or, if the next process needs its record, keeps it in the spool with a final outcome
-    /// for that long.
+    /// Removes a closed message. If a later process needs its record, keeps it in the spool, with a final outcome,
+    /// until the record is no longer needed.
     pub(super) fn close_in_spool(&mut self, message: MessageId, attempt: ClosingAttempt) {
         let until = self.policy.borrow().record_needed_until(message, self.now, attempt);
         let Some(until) = until else { return self.remove_message(message) };
--- a/crates/relay/src/upstream/attempt.rs
+++ b/crates/relay/src/upstream/attempt.rs
@@ -21,7 +21,8 @@
 
 /// Maximum size of a response body: one line for each message of the largest batch is far less.
 const MAX_RESPONSE_BYTES: usize = 256 * 1024;
-/// Delay after the decision from which a call needs permission again before its first byte is sent.
+/// Delay, after the decision or while the attempts are recorded, from which a call needs permission again before its
+/// first byte is sent.
 const DELAYED_SEND_THRESHOLD: Duration = Duration::from_millis(50);
 /// Maximum `Retry-After` in seconds; a longer one is reduced to this.
 const MAX_RETRY_AFTER_SECONDS: f64 = 1e6;
@@ -126,7 +127,7 @@
     pub(crate) time_limit: Duration,
     pub(crate) connect_timeout: Duration,
     pub(crate) decided_at: Instant,
-    /// Requests whether the endpoint may still be called; the receiver gets the reply.
+    /// Requests permission to call the endpoint; the receiver gets the reply.
     pub(crate) request_send_permission: Box<dyn Fn() -> Receiver<bool>>,
     /// Records the attempts in the spool, right before the first byte. Returns their outcome as the error if they must
     /// not be sent.
@@ -182,8 +183,8 @@
         CallResult::uniform(self.messages.iter().map(|message| message.message), outcome, end, closed)
     }
 
-    /// Returns the result of a call without a complete response: the relay gave it up or its connection was closed, so
-    /// whatever the outcome, the endpoint may still be running it.
+    /// Returns the result of a call without a complete response: the relay abandoned it or its connection was closed,
+    /// so whatever the outcome, the endpoint may still be running it.
     fn interrupted_result(&self, outcome: Outcome) -> CallResult {
         self.uniform_result(outcome, CallEnd::Interrupted, false)
     }
@@ -221,7 +222,7 @@
             pool.put_back(self.endpoint_id, connection);
             return Err(Outcome::NotSent);
         }
-        // The permission may have taken long, and the idle time of a reused connection may have run out meanwhile.
+        // The permission may have taken long, and the idle timeout of a reused connection may have expired meanwhile.
         if connection.requests > 0 && !pool.is_usable(&mut connection) {
             connection = self.connect(pool).await?;
         }
@@ -402,7 +403,8 @@
     }
 }
 
-/// Returns the maximum size of a message in the body of a batch call. The metadata includes the idempotency key.
+/// Returns an upper bound of the bytes that a message takes in the body of a batch call. The metadata includes the
+/// idempotency key.
 pub(crate) fn max_batch_entry_bytes(id: &[u8], metadata: &str, body: &[u8]) -> usize {
     id.len() + metadata.len() + body.len() + MAX_ENTRY_OVERHEAD_BYTES
 }
--- a/crates/relay/src/upstream/connection_pool.rs
+++ b/crates/relay/src/upstream/connection_pool.rs
@@ -10,10 +10,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A connection is not used during the last tenth of the endpoint's idle timeout: a request takes time to arrive, and
-/// the endpoint starts its timeout earlier than the relay.
+/// Divisor of the endpoint's idle timeout. The quotient is the margin before the timeout in which a connection is no
+/// longer used: a request takes time to arrive, and the endpoint starts its timeout earlier than the relay.
 const IDLE_MARGIN_DIVISOR: u32 = 10;
-/// Minimum length of that last part of the idle timeout, unless half of the timeout is shorter.
+/// Minimum margin before an endpoint's idle timeout in which a connection is no longer used. Half of the idle timeout
+/// is used instead if that is shorter.
 const MIN_IDLE_MARGIN: Duration = Duration::from_millis(250);
 
 /// Pool of connections that carry no call.
--- a/crates/relay/src/upstream/http1.rs
+++ b/crates/relay/src/upstream/http1.rs
@@ -47,7 +47,7 @@
     Io(#[source] io::Error),
     #[error("{0}")]
     Response(#[source] ResponseError),
-    #[error("the response is incomplete")]
+    #[error("the response is incomplete or unreadable after its status line")]
     IncompleteResponse,
 }
 
@@ -215,7 +215,7 @@
     fn log_failure(&self, error: ResponseError) {
         let shown = &self.buffer[..self.buffer.len().min(MAX_LOGGED_BYTES)];
         debug!(
-            "answer from {}: {error} with {} bytes unread: {:?}",
+            "answer from {}: {error} with {} bytes not parsed: {:?}",
             self.server_name,
             self.buffer.len(),
             String::from_utf8_lossy(shown)
