--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -271,7 +271,7 @@
 // The relay accepts no message while it can't write the clock file. Guards against a rejected message that is already in the
 // spool log: its removal is due one decision interval later, and a kill before that would restore it.
 #[test]
-fn message_rejected_over_an_unwritable_clock_file_is_not_restored() {
+fn message_rejected_for_an_unwritable_clock_file_is_not_restored() {
     let endpoint = Server::start(|_| ok());
     let mut fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
     // Decision interval in microseconds, long enough for the kill.
@@ -296,7 +296,7 @@
         .expect("set the fault");
 }
 
-// A process that exits over a state folder that fails for a while would not be started again.
+// A process that exits because its state folder fails for a while would not be started again.
 #[test]
 fn start_waits_for_a_state_folder_that_fails_for_some_seconds() {
     let endpoint = Server::start(|_| ok());
@@ -343,6 +343,6 @@
     fixture.platform.set_members(vec![draining_entry, member("e2", other.address, 7, "single")]);
     faults.set_file_write_delay(ms(0)).expect("end the delay");
     assert_eq!(client.read_reply(), "+OK");
-    wait_until("the call elsewhere", || other.ids() == ["m1"]);
+    wait_until("the call to the other endpoint", || other.ids() == ["m1"]);
     assert!(draining.ids().is_empty(), "sent though its endpoint was reported as draining");
 }
--- a/crates/relay/tests/handover/failing_folder.rs
+++ b/crates/relay/tests/handover/failing_folder.rs
@@ -91,9 +91,9 @@
     }
 }
 
-// Guards against a relay without a process after two upgrades in quick succession. A successor that takes over holds both
-// locks while it merges the two spools, which took 0.7 s with failing unlinks. The next process waited only 0.5 s, assumed
-// two running processes and exited with code 1, after the one before had been told to stop for it.
+// Guards against a relay without a process after two upgrades in quick succession. A successor that takes over holds
+// both locks while it merges the two spools, which took 0.7 s with failing unlinks. The next process waited only 0.5 s,
+// assumed two running processes and exited with code 1, after the previous process had been requested to stop for it.
 #[test]
 fn start_waits_while_a_takeover_holds_both_locks() {
     let fixture = upgrade_fixture();
--- a/crates/relay/tests/handover/main.rs
+++ b/crates/relay/tests/handover/main.rs
@@ -123,8 +123,8 @@
     assert_eq!(fixture.endpoint.ids(), ["m1"]);
 }
 
-// The active process has exited when the successor reads the snapshot: exiting over an unreadable one would leave the
-// relay without a process.
+// The active process has exited when the successor reads the snapshot: if the successor exited because of an unreadable
+// one, the relay would be without a process.
 #[test]
 fn unreadable_snapshot_does_not_stop_the_successor() {
     let fixture = upgrade_fixture();
--- a/crates/relay/tests/handover/stale_marker.rs
+++ b/crates/relay/tests/handover/stale_marker.rs
@@ -39,9 +39,9 @@
 }
 
 // Guards against messages of one key sent out of order after an abandoned upgrade. The successor accepted an ordered
-// message and was told to stop, but ran 3.5 s longer as a client was in the middle of a request. Meanwhile a third process
-// found the active lock free, accepted the next message of the key and sent it. The first message stayed in the successor's
-// spool and was taken over half a second after the successor's exit.
+// message and was requested to stop, but ran 3.5 s longer as a client was in the middle of a request. Meanwhile a third
+// process found the active lock free, accepted the next message of the key and sent it. The first message stayed in the
+// successor's spool and was taken over half a second after the successor's exit.
 #[test]
 fn process_started_while_a_successor_stops_sends_after_the_successors_messages() {
     let fixture = upgrade_fixture();
--- a/crates/relay/tests/handover/successor.rs
+++ b/crates/relay/tests/handover/successor.rs
@@ -36,7 +36,7 @@
         active.terminate();
         assert!(active.exits_within(ms(3_600)));
         fixture.wait_for_ownership(1);
-        // Sent once: by the active process if it checked the spool before it was told to stop, otherwise by the next process.
+        // Sent once: by the active process if it checked the spool before the stop request, otherwise by the next process.
         wait_until("the successor's message", || fixture.endpoint.ids().contains(&"m1".into()));
         sleep(ms(300));
         assert_eq!(fixture.endpoint.ids().len(), 2);
@@ -79,13 +79,13 @@
 }
 
 /// Starts a client with many pipelined requests, so that its connection is never idle. Returns the ids of the messages
-/// acknowledged to it once the connection is closed. Until `may_be_accepted` is set its messages have so short a deadline
-/// that a successor rejects them.
+/// acknowledged by `+OK`, once the connection is closed. Until `may_be_accepted` is set its messages have so short a
+/// deadline that a successor rejects them.
 fn start_pipelining_client(
     address: SocketAddr,
     name: char,
     may_be_accepted: Arc<AtomicBool>,
-    answers: Arc<AtomicUsize>,
+    reply_count: Arc<AtomicUsize>,
 ) -> thread::JoinHandle<BTreeSet<String>> {
     /// Number of requests in one write.
     const BATCH: usize = 64;
@@ -117,7 +117,7 @@
                     "+OK" => drop(accepted.insert(id)),
                     _ => {}
                 }
-                answers.fetch_add(1, Ordering::SeqCst);
+                reply_count.fetch_add(1, Ordering::SeqCst);
             }
         }
         drop((client, batches));
@@ -126,7 +126,7 @@
     })
 }
 
-// A successor is told to stop and exits while clients still send: each message that it accepted must be acknowledged.
+// A successor is requested to stop and exits while clients still send: each message that it accepted must get its `+OK`.
 #[test]
 fn terminated_successor_acknowledges_every_message_it_accepted() {
     /// Time after the stop signal at which messages become acceptable: shortly before the process exits, as requests wait
@@ -140,11 +140,12 @@
     let mut successor = fixture.start(1);
     active.signal("STOP");
     let may_be_accepted = Arc::new(AtomicBool::new(false));
-    let answers = Arc::new(AtomicUsize::new(0));
+    let reply_count = Arc::new(AtomicUsize::new(0));
     // Several clients, since one that the machine delays may be idle for a moment and is disconnected then.
-    let clients = ['a', 'b', 'c']
-        .map(|name| start_pipelining_client(fixture.listen, name, may_be_accepted.clone(), answers.clone()));
-    wait_until("many replies", || answers.load(Ordering::SeqCst) > 10_000);
+    let clients = ['a', 'b', 'c'].map(|name| {
+        start_pipelining_client(fixture.listen, name, may_be_accepted.clone(), reply_count.clone())
+    });
+    wait_until("many replies", || reply_count.load(Ordering::SeqCst) > 10_000);
     successor.terminate();
     sleep(NEAR_THE_END);
     may_be_accepted.store(true, Ordering::SeqCst);
--- a/crates/relay/tests/handover/under_load.rs
+++ b/crates/relay/tests/handover/under_load.rs
@@ -150,7 +150,7 @@
     }
     let seen = replies.lock().expect("lock the replies");
     // Each message ends by its deadline; the number of queued messages depends on the speed of the machine.
-    wait_until_within(TIME_TO_DEADLINE + NOTIFICATION_SLACK, "every message accepted to end", || {
+    wait_until_within(TIME_TO_DEADLINE + NOTIFICATION_SLACK, "the end of every accepted message", || {
         let counts = MessageCounts::count(&endpoint, &platform);
         seen.accepted.iter().all(|id| counts.of(id) != (0, 0))
     });
--- a/crates/relay/tests/order_by_key.rs
+++ b/crates/relay/tests/order_by_key.rs
@@ -203,12 +203,13 @@
     wrong
 }
 
-// Guards against a message that is sent while the previous message of its key may still run. An endpoint began its response
-// and kept working; the relay cancelled the call after half a second, as the response was unreadable, and sent the next
-// message of the key 6 to 10 ms later. It treated an unreadable response like a complete error response, though by the
-// protocol it is a cancel, and a truncated response is a reset: both require a hold-off of the key.
+// Guards against a message that is sent while the previous message of its key may still run. An endpoint began its
+// response and kept working; the relay closed the call after half a second, as the response was unreadable, and sent the
+// next message of the key 6 to 10 ms later. One value told both the result for the circuit breaker and whether the attempt
+// may still run, so an unreadable response counted as a complete error response. By the protocol the relay cancelled such a
+// call, and a truncated response is a reset: both require a hold-off of the key.
 #[test]
-fn incomplete_response_holds_off_its_key() {
+fn incomplete_response_starts_a_hold_off_of_its_key() {
     let wrong = [
         cases_with_wrong_gap(incomplete_responses(), "pay", false),
         cases_with_wrong_gap(incomplete_responses(), "line", false),
@@ -226,7 +227,7 @@
 
 // An unnecessary hold-off would delay the messages of the key.
 #[test]
-fn complete_response_does_not_hold_off_its_key() {
+fn complete_response_starts_no_hold_off_of_its_key() {
     let wrong = cases_with_wrong_gap(complete_responses(), "pay", false);
     assert!(wrong.is_empty(), "{wrong:#?}");
 }
--- a/crates/relay/tests/relay/calls.rs
+++ b/crates/relay/tests/relay/calls.rs
@@ -143,7 +143,7 @@
     wait_until("the list", || fixture.log().contains("list 3:"));
     drop(fillers);
     let late = Server::on(listener, |_| ok());
-    wait_until("the call elsewhere", || other.ids() == ["m1"]);
+    wait_until("the call to the other endpoint", || other.ids() == ["m1"]);
     assert_eq!(late.ids().len(), 0);
     assert!(fixture.log().contains("call to endpoint e1 not made: no longer allowed"));
 }
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn timeout_holds_off_the_next_message_of_its_key() {
+fn timeout_starts_a_hold_off_of_its_key() {
     let endpoint = Server::start(|r| if r.ids()[0] == "m1" { ServerAction::Hang } else { ok() });
     let fixture = fixture(0, vec![member("e1", endpoint.address, 7, "single")]);
     let relay = fixture.start_relay();
@@ -258,7 +258,7 @@
     endpoint.ids().len()
 }
 
-// Returns whether the message failed and whether its connection was reused. A malformed 2xx still counts as a delivery;
+// Returns whether the message failed and whether its connection was reused. A malformed 200 still counts as a delivery;
 // a malformed rejection counts as an attempt that may have run. The connection of either must not be reused.
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc" => (false, false); "stalled body")]
 #[test_case("HTTP/1.1 200 OK\r\nX-" => (false, false); "stalled head")]
--- a/crates/relay/tests/relay/shared_ids.rs
+++ b/crates/relay/tests/relay/shared_ids.rs
@@ -33,7 +33,7 @@
 }
 
 // Two clients submit the same request, which counts as one message. Guards against its loss when one of them disconnects
-// before its reply: the relay withdrew the message though the other client had been told that it was accepted.
+// before its reply: the relay withdrew the message though it had sent `+OK` to the other client.
 #[test]
 fn disconnect_of_one_client_keeps_a_message_submitted_by_two() {
     let first = std::sync::atomic::AtomicBool::new(true);
--- a/crates/relay/tests/support/gate.rs
+++ b/crates/relay/tests/support/gate.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Blocks every thread that calls [`Gate::pass`] until a test opens it, and counts these threads. A sleep in its place
-/// would depend on the speed of the machine.
+/// would depend on the speed of the machine. Its state: whether it is open, and the number of threads that arrived.
 #[derive(Clone, Default)]
 pub(crate) struct Gate(Arc<(Mutex<(bool, usize)>, Condvar)>);
 
