--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -27,7 +27,9 @@
                 self.send_permission_requests.push(SendPermissionRequest { endpoint, address, reply_to });
             }
             Event::EndpointList(result) => self.on_poll_ended(result, inputs),
-            Event::NotificationsAcknowledged(messages) => self.on_acknowledged(messages, inputs),
+            Event::NotificationsAcknowledged(messages) => {
+                self.on_notifications_acknowledged(messages, inputs);
+            }
             Event::MaintenanceChanged(change) => self.on_maintenance_changed(change, inputs),
             Event::StopRequested(plan) => self.on_stop_requested(plan, inputs),
         }
@@ -257,7 +259,7 @@
         }
     }
 
-    fn on_acknowledged(&mut self, messages: Vec<MessageId>, inputs: &mut Vec<Input>) {
+    fn on_notifications_acknowledged(&mut self, messages: Vec<MessageId>, inputs: &mut Vec<Input>) {
         for message in messages {
             self.record_ended_id(message);
             self.close_message(message, inputs);
