--- a/crates/relay/src/clients/close_reason.rs
+++ b/crates/relay/src/clients/close_reason.rs
@@ -30,7 +30,7 @@
 }
 
 impl CloseReason {
-    /// Returns whether the client caused the end, so that requests may have stayed without a reply.
+    /// Returns whether the client caused the end. Requests without a reply are then no fault of the relay.
     pub(super) fn is_caused_by_client(self) -> bool {
         matches!(
             self,
