--- a/crates/relay/src/violations.rs
+++ b/crates/relay/src/violations.rs
@@ -15,9 +15,9 @@
     /// A message got a second final answer.
     SecondFinalAnswer,
     /// The relay closed a client connection before it had answered every request that it read.
-    ClosedOwingAnswer,
+    ClosedWithUnansweredRequest,
     /// A message was about to be sent before an earlier message of its ordering key.
-    OutOfTurn,
+    OutOfOrder,
 }
 
 impl ViolationKind {
@@ -25,8 +25,8 @@
     pub(crate) const ALL: [ViolationKind; 4] = [
         ViolationKind::UnsafeRepeat,
         ViolationKind::SecondFinalAnswer,
-        ViolationKind::ClosedOwingAnswer,
-        ViolationKind::OutOfTurn,
+        ViolationKind::ClosedWithUnansweredRequest,
+        ViolationKind::OutOfOrder,
     ];
 
     /// Returns the name in metrics and log lines.
@@ -34,8 +34,8 @@
         match self {
             ViolationKind::UnsafeRepeat => "unsafe_repeat",
             ViolationKind::SecondFinalAnswer => "second_final_answer",
-            ViolationKind::ClosedOwingAnswer => "closed_owing_answer",
-            ViolationKind::OutOfTurn => "out_of_turn",
+            ViolationKind::ClosedWithUnansweredRequest => "closed_owing_answer",
+            ViolationKind::OutOfOrder => "out_of_turn",
         }
     }
 }
--- a/crates/relay/tests/handover/stale_marker.rs
+++ b/crates/relay/tests/handover/stale_marker.rs
@@ -39,9 +39,9 @@
 }
 
 // Guards against messages of one key sent out of order after an abandoned upgrade. The successor accepted an ordered
-// message and was told to stop, but ran 3.5 s longer as a client was in the middle of a request. Meanwhile a third process
-// found the active lock free, accepted the next message of the key and sent it. The first message stayed in the successor's
-// spool and was taken over half a second after the successor's exit.
+// message and was requested to stop, but ran 3.5 s longer as a client was in the middle of a request. Meanwhile a third
+// process found the active lock free, accepted the next message of the key and sent it. The first message stayed in the
+// successor's spool and was taken over half a second after the successor's exit.
 #[test]
 fn process_started_while_a_successor_stops_sends_after_the_successors_messages() {
     let fixture = upgrade_fixture();
@@ -108,7 +108,7 @@
     fixture.submit("beside", 0, "once");
     active.signal("CONT");
     active.terminate();
-    wait_until("the handover", || fixture.log().contains("hands over to the process beside it"));
+    wait_until("the handover", || fixture.log().contains("hands over to its successor process"));
     assert_eq!(fixture.submit_reply("in-order", 5, "pay"), "-BUSY", "its position within the key is unknown");
     fixture.gate.open();
     assert!(active.exits_within(ms(3_600)));
--- a/crates/relay/tests/races.rs
+++ b/crates/relay/tests/races.rs
@@ -137,7 +137,7 @@
     wait_until("the stop", || fixture.log().contains("told to stop, for a restart"));
     gate.open();
     assert_eq!(relay.wait_for_exit_code(), Some(0));
-    assert!(fixture.log().contains("stopped with 0 calls out, 0 messages kept"), "{}", fixture.log());
+    assert!(fixture.log().contains("stopped with 0 calls in flight, 0 messages kept"), "{}", fixture.log());
     let _relay = fixture.start_relay();
     assert_eq!(endpoint.ids(), ["m1"]);
 }
@@ -345,7 +345,7 @@
     wait_until("the call", || old.ids() == ["m1", "m2"]);
     relay.signal("TERM");
     assert_eq!(relay.wait_for_exit_code(), Some(0));
-    assert!(fixture.log().contains("stopped with 0 calls out, 0 messages kept"), "{}", fixture.log());
+    assert!(fixture.log().contains("stopped with 0 calls in flight, 0 messages kept"), "{}", fixture.log());
     assert!(fixture.platform.notifications().is_empty(), "{:?}", fixture.platform.notifications());
 }
 
@@ -428,7 +428,7 @@
     assert_eq!(relay.submit("pay2", 5, "c=pay,d=15000,dest=7", b"2"), "+OK");
     wait_until("the notification", || fixture.platform.notifications().len() == 1);
     let ended = std::time::Instant::now();
-    // By then the notification is accepted and the message forgotten.
+    // By then the notification is acknowledged and the message is forgotten.
     std::thread::sleep(ms(200));
     relay.signal("KILL");
     drop(relay);
