--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -36,12 +36,12 @@
     MAX_TAKEOVER_DELAY, ORPHAN_CHECK_INTERVAL, PreviousSuccessor, Role, SUCCESSOR_DIR, SUCCESSOR_DISK_SHARE,
     active_accepts, determine_role, reads_snapshot, successor_accepts,
 };
-pub use snapshot::{FORMAT, RouteRecord, SNAPSHOT_FILE, Snapshot};
+pub use snapshot::{RouteRecord, SNAPSHOT_FILE, SNAPSHOT_FORMAT, Snapshot};
 pub use start_plan::{
     LOCK_ACQUISITION_TIMEOUT, OPTIONAL_RESOURCE_TIMEOUT, RELOAD_RETRY_TIMEOUT, REQUIRED_RESOURCE_TIMEOUT,
     SPOOL_OPEN_TIMEOUT, SUCCESSOR_TAKEOVER_TIMEOUT,
 };
-pub use stop_plan::{HANDOVER, RESTART, StopPlan, stop_plan};
+pub use stop_plan::{HANDOVER_STOP_PLAN, RESTART_STOP_PLAN, StopPlan, stop_plan};
 
 #[cfg(test)]
 mod tests;
--- a/crates/handover/src/role.rs
+++ b/crates/handover/src/role.rs
@@ -23,7 +23,7 @@
 /// Time that a message must have left until its deadline, beyond [`MAX_TAKEOVER_DELAY`], for a successor to
 /// accept it.
 pub const DEADLINE_MARGIN: Duration = Duration::from_millis(500);
-/// Share of the folder's size limit for the active process's spool. The rest that both shares leave is for
+/// Share of the folder's size limit for the active process's spool. The part that neither spool uses is for
 /// small files, and for the spool of an active process of an older version that used the whole limit.
 pub const ACTIVE_DISK_SHARE: f64 = 0.6;
 /// Share of the folder's size limit for the successor's spool.
@@ -53,7 +53,7 @@
 /// if it acquired `next/lock`; `has_successor_spool` if there is a `next/spool.log`.
 ///
 /// # Errors
-/// [`HandoverError::StateFolderTaken`] if other processes hold both locks.
+/// [`HandoverError::StateDirInUse`] if other processes hold both locks.
 pub fn determine_role(
     has_active_lock: bool,
     has_successor_lock: bool,
@@ -64,14 +64,14 @@
         (true, true) => Ok(Role::Active(PreviousSuccessor::None)),
         (true, false) => Ok(Role::Active(PreviousSuccessor::Running)),
         (false, true) => Ok(Role::Successor),
-        (false, false) => Err(HandoverError::StateFolderTaken),
+        (false, false) => Err(HandoverError::StateDirInUse),
     }
 }
 
 /// Returns whether a process in this role reads the snapshot that the previous process left. A successor
 /// does: it and the active process are one relay, so a Retry-After received by one binds the other. A process
-/// that is active at its start does not: the previous one exited or was killed, a restart ends every wait
-/// (PROTOCOL), and the process starts with closed breakers.
+/// that is active at its start does not: the previous one exited or was killed, by the protocol a restart ends
+/// every Retry-After wait, and the process starts with closed breakers.
 pub fn reads_snapshot(role: Role) -> bool {
     role == Role::Successor
 }
--- a/crates/handover/src/snapshot.rs
+++ b/crates/handover/src/snapshot.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Format of the snapshots that this program writes. Snapshots of newer formats are rejected.
-pub const FORMAT: u32 = 1;
+pub const SNAPSHOT_FORMAT: u32 = 1;
 /// Name of the snapshot file in the state folder.
 pub const SNAPSHOT_FILE: &str = "handover.json";
 
@@ -67,11 +67,11 @@
     /// # Errors
     /// If the text is not a snapshot, or has a newer format. The error is one line, meant for on-call staff.
     pub fn from_json(text: &str) -> Result<Snapshot, HandoverError> {
-        let header: Header = serde_json::from_str(text).map_err(HandoverError::NotASnapshot)?;
-        if header.format > FORMAT {
+        let header: Header = serde_json::from_str(text).map_err(HandoverError::InvalidSnapshot)?;
+        if header.format > SNAPSHOT_FORMAT {
             return Err(HandoverError::NewerFormat { format: header.format });
         }
-        serde_json::from_str(text).map_err(HandoverError::NotASnapshot)
+        serde_json::from_str(text).map_err(HandoverError::InvalidSnapshot)
     }
 
     /// Returns whether the active process may have written the snapshot: it is the writer, or is itself
--- a/crates/handover/src/stop_plan.rs
+++ b/crates/handover/src/stop_plan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Time limits of an active process after it was told to stop, counted from then.
+/// Time limits of an active process that was requested to stop, counted from the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopPlan {
     /// Time for which new client connections are accepted, as the platform's load balancer still sends them.
@@ -17,7 +17,7 @@
 }
 
 /// Stop for a restart. SIGKILL may come 3.7 s after SIGTERM.
-pub const RESTART: StopPlan = StopPlan {
+pub const RESTART_STOP_PLAN: StopPlan = StopPlan {
     accept_duration: Duration::from_millis(500),
     send_duration: Duration::from_millis(2_000),
     exit_timeout: Duration::from_millis(3_500),
@@ -25,7 +25,7 @@
 };
 /// Stop with a running successor. New connections go to the successor, which also takes over all remaining
 /// messages once this process has exited: the sooner it exits, the sooner they are sent.
-pub const HANDOVER: StopPlan = StopPlan {
+pub const HANDOVER_STOP_PLAN: StopPlan = StopPlan {
     accept_duration: Duration::ZERO,
     send_duration: Duration::ZERO,
     exit_timeout: Duration::from_millis(3_300),
@@ -34,5 +34,5 @@
 
 /// Returns the plan for a stop: a handover if a successor is running, a restart otherwise.
 pub fn stop_plan(has_successor: bool) -> StopPlan {
-    if has_successor { HANDOVER } else { RESTART }
+    if has_successor { HANDOVER_STOP_PLAN } else { RESTART_STOP_PLAN }
 }
--- a/crates/handover/src/tests.rs
+++ b/crates/handover/src/tests.rs
@@ -10,7 +10,7 @@
     // A successor that is still running keeps its messages until it is active.
     assert_eq!(role_of(true, false, true), Role::Active(PreviousSuccessor::Running));
     assert_eq!(role_of(false, true, true), Role::Successor);
-    assert!(matches!(determine_role(false, false, false), Err(HandoverError::StateFolderTaken)));
+    assert!(matches!(determine_role(false, false, false), Err(HandoverError::StateDirInUse)));
 }
 
 #[test]
@@ -80,7 +80,7 @@
         open_until_ms: Some(0),
         slow_start_since_ms: None,
     };
-    let snapshot = Snapshot { format: FORMAT, writer: None, written_ms: 1_000, routes: vec![route] };
+    let snapshot = Snapshot { format: SNAPSHOT_FORMAT, writer: None, written_ms: 1_000, routes: vec![route] };
     assert_eq!(Snapshot::from_json(&snapshot.to_json()).expect("a snapshot"), snapshot);
     let newer = snapshot.to_json().replace("\"format\":1", "\"format\":2");
     let error = Snapshot::from_json(&newer).expect_err("an error").to_string();
@@ -100,7 +100,7 @@
     };
     let snapshot = Snapshot {
         writer: None,
-        format: FORMAT,
+        format: SNAPSHOT_FORMAT,
         written_ms: 0,
         routes: vec![route(1, 900, None), route(2, 1_100, None), route(3, 900, Some(5))],
     };
--- a/crates/relay/src/state_files.rs
+++ b/crates/relay/src/state_files.rs
@@ -8,7 +8,7 @@
 use crate::startup::retry::RetryDeadlines;
 use log::{error, info};
 use mountshift_discovery::{DRAIN_RECORD_DISK_SHARE, DRAIN_RECORD_FILE, DrainRecord, ParsedDrainRecord};
-use mountshift_handover::{FORMAT, RouteRecord, SNAPSHOT_FILE, Snapshot};
+use mountshift_handover::{RouteRecord, SNAPSHOT_FILE, SNAPSHOT_FORMAT, Snapshot};
 use mountshift_maintenance::MaintenanceState;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -129,7 +129,7 @@
     /// Writes the complete snapshot of the routes for a later process.
     pub(crate) fn write_snapshot(&self, written_ms: u64, routes: Vec<RouteRecord>) {
         let writer = Some(self.process.to_string());
-        let snapshot = Snapshot { format: FORMAT, writer, written_ms, routes };
+        let snapshot = Snapshot { format: SNAPSHOT_FORMAT, writer, written_ms, routes };
         self.replace(SNAPSHOT_FILE, &snapshot.to_json());
     }
 
--- a/crates/relay/src/successor.rs
+++ b/crates/relay/src/successor.rs
@@ -15,7 +15,7 @@
 use futures_lite::FutureExt;
 use log::{error, info, warn};
 use mountshift::interface::MessageId;
-use mountshift_handover::{ActiveProcessState, LOCK_POLL_INTERVAL, RESTART, successor_accepts};
+use mountshift_handover::{ActiveProcessState, LOCK_POLL_INTERVAL, RESTART_STOP_PLAN, successor_accepts};
 use mountshift_maintenance::{Change, MaintenanceState};
 use mountshift_spool::{AcceptedMessage, Spool};
 use std::cell::{Cell, RefCell};
@@ -260,7 +260,8 @@
     /// Returns whether a stopping process can exit: no client is connected, or the exit timeout has passed. A stopping
     /// process no longer becomes active.
     fn can_stop(&self) -> bool {
-        let is_late = self.stopping_since.is_some_and(|since| since.elapsed() >= RESTART.exit_timeout);
+        let is_late =
+            self.stopping_since.is_some_and(|since| since.elapsed() >= RESTART_STOP_PLAN.exit_timeout);
         is_late || self.options.client_connections.get() == 0
     }
 
