--- a/crates/relay/src/startup/spool.rs
+++ b/crates/relay/src/startup/spool.rs
@@ -210,7 +210,7 @@
 
     /// Returns the spool of an exited successor, or `None` if a successor runs or no spool exists.
     pub(crate) fn take_orphaned(&self) -> Option<OrphanedSpool> {
-        let file = self.dir.join(mountshift_spool::FILE_NAME);
+        let file = self.dir.join(mountshift_spool::SPOOL_FILE);
         if !self.may_hold_earlier_messages() && !file.exists() {
             return None;
         }
@@ -314,7 +314,7 @@
     }
     info!("took over {} messages accepted as successor of the active process", accepted_by_successor.len());
     drop(successor);
-    let path = state_dir.successor_path.join(mountshift_spool::FILE_NAME);
+    let path = state_dir.successor_path.join(mountshift_spool::SPOOL_FILE);
     retry_deadlines
         .retry_required(|| std::fs::remove_file(&path))
         .await
--- a/crates/relay/src/startup/state_dir.rs
+++ b/crates/relay/src/startup/state_dir.rs
@@ -42,7 +42,7 @@
             let active = active.map_err(unusable(path.join(LOCK_FILE)))?;
             let successor = retry_deadlines.retry_required(|| try_lock(&successor_path)).await;
             let successor = successor.map_err(unusable(successor_path.join(LOCK_FILE)))?;
-            let successor_spool_exists = successor_path.join(mountshift_spool::FILE_NAME).exists();
+            let successor_spool_exists = successor_path.join(mountshift_spool::SPOOL_FILE).exists();
             match mountshift_handover::determine_role(
                 active.acquired,
                 successor.acquired,
--- a/crates/spool/src/compaction.rs
+++ b/crates/spool/src/compaction.rs
@@ -1,7 +1,7 @@
 //! Compaction: writes the messages that are still needed to a new log file, and computes the space that they
 //! need at most. The old and the new file together stay within the size limit.
 
-use crate::log_file::{FILE_NAME, Spool};
+use crate::log_file::{SPOOL_FILE, Spool};
 use crate::message::{AcceptedMessage, StoredMessage};
 use crate::record::{
     BATCH_OVERHEAD_BYTES, MAX_SMALL_RECORD_BYTES, encode_accepted, encode_attempt, encode_format,
@@ -11,7 +11,7 @@
 use std::io::{self, Write};
 
 /// Name of the new log file until it replaces the log.
-pub(crate) const NEW_FILE_NAME: &str = "spool.new";
+pub(crate) const NEW_SPOOL_FILE: &str = "spool.new";
 /// Size in bytes of the disk blocks in which file sizes are counted.
 const BLOCK_BYTES: u64 = 512;
 /// Upper bound of the size of the format record, in bytes.
@@ -96,11 +96,11 @@
     /// Writes the messages with numbers below `end` to a new file that replaces the log.
     fn write_new_log(&mut self, end: u64) -> io::Result<()> {
         let bytes = self.encode_messages_below(end);
-        let new_path = self.dir.join(NEW_FILE_NAME);
+        let new_path = self.dir.join(NEW_SPOOL_FILE);
         let mut file = OpenOptions::new().create(true).append(true).open(&new_path)?;
         file.set_len(0)?;
         let written = file.write_all(&bytes);
-        let replaced = written.and_then(|()| fs::rename(&new_path, self.dir.join(FILE_NAME)));
+        let replaced = written.and_then(|()| fs::rename(&new_path, self.dir.join(SPOOL_FILE)));
         if let Err(error) = replaced {
             let _ = fs::remove_file(&new_path);
             return Err(error);
--- a/crates/spool/src/error.rs
+++ b/crates/spool/src/error.rs
@@ -1,7 +1,7 @@
 //! Errors of the spool.
 
-use crate::log_file::FILE_NAME;
-use crate::record::FORMAT;
+use crate::log_file::SPOOL_FILE;
+use crate::record::LOG_FORMAT;
 use std::io;
 
 /// Reason why the log can't be opened.
@@ -14,8 +14,8 @@
     /// The log was written by a newer program.
     #[error(
         "{name}, byte {offset}: unsupported format {format}; this program reads formats up to {known}",
-        name = FILE_NAME,
-        known = FORMAT
+        name = SPOOL_FILE,
+        known = LOG_FORMAT
     )]
     NewerFormat {
         /// Offset of the record in the log, in bytes.
@@ -24,7 +24,7 @@
         format: u64,
     },
     /// The log holds a complete record, with a correct checksum, that this program can't read.
-    #[error("{name}, byte {offset}: record of unknown type", name = FILE_NAME)]
+    #[error("{name}, byte {offset}: record of unknown type", name = SPOOL_FILE)]
     UnknownRecord {
         /// Offset of the record in the log, in bytes.
         offset: usize,
--- a/crates/spool/src/lib.rs
+++ b/crates/spool/src/lib.rs
@@ -21,5 +21,5 @@
 mod replay;
 
 pub use error::SpoolError;
-pub use log_file::{FILE_NAME, Spool};
+pub use log_file::{SPOOL_FILE, Spool};
 pub use message::{AcceptedMessage, AttemptRecord, FinalOutcome, StoredMessage};
--- a/crates/spool/src/log_file.rs
+++ b/crates/spool/src/log_file.rs
@@ -1,7 +1,7 @@
 //! The log file and the messages in it: opens and replays the log, appends records, commits.
 
 use crate::batch::{Batch, encode_salt_record, new_salt};
-use crate::compaction::{NEW_FILE_NAME, round_up_to_blocks};
+use crate::compaction::{NEW_SPOOL_FILE, round_up_to_blocks};
 use crate::error::SpoolError;
 use crate::message::{AcceptedMessage, AttemptRecord, FinalOutcome, StoredMessage};
 use crate::record::{
@@ -16,7 +16,7 @@
 use std::path::{Path, PathBuf};
 
 /// Name of the log file in its folder.
-pub const FILE_NAME: &str = "spool.log";
+pub const SPOOL_FILE: &str = "spool.log";
 
 /// The open log. Messages are identified by numbers, which increase in the order in which messages were
 /// accepted. Changes are kept in memory until [`Spool::commit`] writes them.
@@ -49,9 +49,9 @@
 }
 
 impl Spool {
-    /// Opens the log in `dir` and reads the messages that are not finished; a torn tail is dropped. The files
-    /// take at most `max_bytes`. A message may have up to `max_attempts` attempts, to zones with names of up
-    /// to `max_zone_bytes` bytes.
+    /// Opens the log in `dir` and reads the messages that are not finished. Data of an interrupted write at its
+    /// end is ignored, and removed before the next write. The files take at most `max_bytes`. A message may have
+    /// up to `max_attempts` attempts, to zones with names of up to `max_zone_bytes` bytes.
     ///
     /// # Errors
     /// If the folder can't be used, or if the log holds complete records that this version can't read (such
@@ -62,11 +62,11 @@
         max_attempts: u64,
         max_zone_bytes: u64,
     ) -> Result<Spool, SpoolError> {
-        if let Err(error) = remove_if_present(&dir.join(NEW_FILE_NAME)) {
+        if let Err(error) = remove_if_present(&dir.join(NEW_SPOOL_FILE)) {
             // The file takes up space until the next compaction overwrites it.
-            warn!("spool: can't remove the leftover {NEW_FILE_NAME}: {error}");
+            warn!("spool: can't remove the leftover {NEW_SPOOL_FILE}: {error}");
         }
-        let path = dir.join(FILE_NAME);
+        let path = dir.join(SPOOL_FILE);
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
         let bytes = fs::read(&path)?;
         let mut spool = Spool {
@@ -93,8 +93,11 @@
         }
         let torn_bytes = bytes.len() - log.complete_bytes;
         if torn_bytes > 0 {
-            // The process exited during a write: the data was never committed.
-            warn!("spool: dropped a torn tail of {torn_bytes} bytes at offset {}", log.complete_bytes);
+            // A process exited during a write, so that the data was never committed.
+            warn!(
+                "spool: dropped {torn_bytes} bytes of an interrupted write at offset {}",
+                log.complete_bytes
+            );
         }
         spool.has_torn_tail = torn_bytes > 0;
         spool.written_bytes = log.complete_bytes as u64;
@@ -249,7 +252,7 @@
     fn truncate_torn_tail(&mut self) -> bool {
         let truncated = self.file.set_len(self.written_bytes);
         if let Err(error) = &truncated {
-            warn!("spool: can't truncate a torn tail: {error}");
+            warn!("spool: can't remove the data of a failed write: {error}");
         }
         self.has_torn_tail = truncated.is_err();
         truncated.is_ok()
--- a/crates/spool/src/record.rs
+++ b/crates/spool/src/record.rs
@@ -5,7 +5,7 @@
 
 /// Format of the logs that this program writes. Format 0 has no format record, which format 1 added. Format 2
 /// appends the time of acceptance to each message.
-pub(crate) const FORMAT: u64 = 2;
+pub(crate) const LOG_FORMAT: u64 = 2;
 /// Size in bytes of a frame's header: length and checksum.
 const FRAME_HEADER_BYTES: usize = 8;
 /// Largest valid payload size in bytes. Guards against a torn length field.
@@ -157,7 +157,7 @@
 }
 
 pub(crate) fn encode_format() -> Vec<u8> {
-    encode_tag_and_number(TAG_FORMAT, FORMAT)
+    encode_tag_and_number(TAG_FORMAT, LOG_FORMAT)
 }
 
 pub(crate) fn encode_salt(salt: u32) -> Vec<u8> {
--- a/crates/spool/src/record_tests.rs
+++ b/crates/spool/src/record_tests.rs
@@ -15,7 +15,7 @@
 fn records_round_trip() {
     let attempt = AttemptRecord { zone: "north".into(), at: 77, may_have_run: true };
     for (payload, expected) in [
-        (encode_format(), Record::Format(FORMAT)),
+        (encode_format(), Record::Format(LOG_FORMAT)),
         (encode_accepted(1, &message()), Record::Accepted { number: 1, message: message() }),
         (encode_attempt(2, &attempt), Record::Attempt { number: 2, attempt }),
         (encode_not_processed(3), Record::NotProcessed { number: 3 }),
--- a/crates/spool/src/replay.rs
+++ b/crates/spool/src/replay.rs
@@ -6,7 +6,7 @@
 //! In older logs, and in the part that a compaction wrote, it is the next record.
 
 use crate::error::SpoolError;
-use crate::record::{FORMAT, Record, skip_first_record, split_first_record};
+use crate::record::{LOG_FORMAT, Record, skip_first_record, split_first_record};
 
 /// The content of a log.
 #[derive(Debug, Default)]
@@ -40,7 +40,7 @@
         // like a torn tail.
         match Record::decode(payload) {
             None => return Err(SpoolError::UnknownRecord { offset }),
-            Some(Record::Format(format)) if format > FORMAT => {
+            Some(Record::Format(format)) if format > LOG_FORMAT => {
                 return Err(SpoolError::NewerFormat { offset, format });
             }
             Some(Record::Format(_)) => offset = next,
@@ -69,7 +69,7 @@
     Ok(log)
 }
 
-/// Reads the records of a batch; returns the number of bytes that can't be read.
+/// Appends the readable records of a batch to `records`; returns the number of bytes that can't be read.
 fn read_batch(batch: &[u8], records: &mut Vec<Record>) -> usize {
     let mut rest = batch;
     let mut skipped = 0;
