--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -20,7 +20,7 @@
     },
     /// The number is negative, infinite or NaN.
     #[error("setting {path}={value} is not a finite number of at least 0")]
-    NotAnAmount {
+    NegativeOrNotFinite {
         /// The setting's path, its parts joined by dots.
         path: String,
         /// The number as Rust writes it.
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -149,7 +149,7 @@
     if number.is_finite() && number >= 0.0 {
         return Ok(number);
     }
-    Err(SettingsError::NotAnAmount { path: path.to_string(), value: number.to_string() })
+    Err(SettingsError::NegativeOrNotFinite { path: path.to_string(), value: number.to_string() })
 }
 
 /// Checks that the names are distinct. Guards against two names that become equal when they are normalized.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads the settings object that an instance gets at its start, for both hosts: as path=value lines, or as
-//! nested JSON with the same names and units. Durations are in microseconds. The names of the settings are
-//! fixed by the protocol and are translated to the terms of the code only here. Reads no file and makes no
-//! decisions.
+//! Reads the settings object that an instance of the delivery policy gets at its start. The simulation adapter
+//! receives it as path=value lines, the relay as nested JSON with the same names and units. Durations are in
+//! microseconds. The names of the settings are fixed by the protocol and are translated to the terms of the code
+//! only here. Reads no file and makes no decisions.
 //!
 //! - [`FlatSettings`] holds the settings as text by path, from either form.
 //! - [`policy_settings`] reads the settings of the delivery policy, [`socket_settings`] those of a host on
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -64,7 +64,7 @@
     let idempotency_value: String = settings.required(&path("idempotency"))?;
     let deadline = settings.duration(&path("giveUp"))?;
     Ok(MessageClass {
-        // A latency objective beyond the deadline means full value up to the deadline.
+        // A message keeps its full weight up to its deadline if the latency objective is later than that.
         latency_objective: settings.duration(&path("aim"))?.min(deadline),
         deadline,
         priority_weight: settings.amount(&path("importance"))?,
--- a/crates/settings/src/socket.rs
+++ b/crates/settings/src/socket.rs
@@ -4,7 +4,7 @@
 use crate::flat::FlatSettings;
 use std::time::Duration;
 
-/// Start of the description, in the settings, of a report value that is the limit in calls a second.
+/// Prefix by which the settings describe a reported value that is a rate limit, in calls per second.
 const RATE_LIMIT_DESCRIPTION: &str = "calls_a_second_that_the_limit_allows";
 
 /// The settings that a host on sockets needs in addition to those of the delivery policy.
@@ -18,13 +18,13 @@
     pub zones: Vec<String>,
     /// Names of the kinds of destinations, indexed in the same way.
     pub destination_kinds: Vec<String>,
-    /// Time after which the other side has closed an idle connection at the latest.
+    /// Time after which the other side closes an idle connection, at the latest.
     pub idle_timeout: Duration,
     /// Time within which a connection must be established.
     pub connect_timeout: Duration,
     /// Shortest interval between two steps of the policy.
     pub min_step_interval: Duration,
-    /// The name under which answers report a rate limit; `None` if they don't report one.
+    /// Name of the value that reports a rate limit in answers; `None` if no value does.
     pub rate_limit_field: Option<String>,
 }
 
@@ -59,7 +59,7 @@
     })
 }
 
-/// Returns the value of a report that is the limit in calls a second, or `None` if answers don't report it.
+/// Returns the position of the rate limit in the reports of answers, or `None` if answers don't report it.
 ///
 /// # Errors
 /// If a setting can't be read.
