--- a/crates/discovery/src/drain_record.rs
+++ b/crates/discovery/src/drain_record.rs
@@ -75,18 +75,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Drain {
     /// Time at which the endpoint was first listed so, Unix milliseconds. Not earlier than its last start as
-    /// listed, which is measured by another clock.
+    /// listed, which is measured by discovery's clock.
     at_ms: u64,
     /// Newest revision of the source that lists the endpoint so.
     revision: u64,
+    /// Address of the discovery service that listed it so.
     source: String,
 }
 
 impl Drain {
     /// Returns whether an entry that lists the endpoint as ready is newer than the drain. Revisions of one
     /// source increase; those of two sources can't be compared, so a list of another source ends the drain
-    /// only if it is a list of changes. An endpoint that started after the drain was started
-    /// to serve, which ends the drain in any case.
+    /// only if it is a list of changes. In any case the drain ends if the endpoint was started again after it.
     fn is_ended_by(&self, list: &ListHeader, entry: &ListEntry) -> bool {
         let is_newer = if list.source == self.source { list.revision > self.revision } else { !list.is_full };
         is_newer || entry.up_since_ms > self.at_ms
@@ -155,7 +155,7 @@
     }
 
     /// Records a drain. A repeated drain keeps the time of the first one and takes the newest revision. The
-    /// endpoint's last start is measured by another clock than this relay's: if that clock is ahead, a start
+    /// endpoint's last start is measured by discovery's clock: if that is ahead of this relay's clock, a start
     /// before the drain must not appear to be later than the drain.
     fn record_drain(&mut self, id: &str, up_since_ms: u64, list: &ListHeader) {
         self.ready_endpoints.remove(id);
--- a/crates/discovery/src/drain_record_tests.rs
+++ b/crates/discovery/src/drain_record_tests.rs
@@ -133,7 +133,8 @@
     assert!(text.len() <= 150_000 && text.len() > 149_900, "{}", text.len());
     let ParsedDrainRecord { record: again, unreadable_lines } = DrainRecord::from_text(&text);
     assert_eq!(unreadable_lines, 0);
-    // More than 1,024 of them, in the 3 MB folder of the platform's page.
+    // 150,000 bytes are the record's share of a 3 MB state folder, the size that the platform documents. They
+    // hold far more than 1,024 drains.
     assert!(again.len() > 3_000, "{}", again.len());
     assert!(again.drains.contains_key("s-00001387") && !again.drains.contains_key("s-00000000"));
 }
--- a/crates/discovery/src/fleet_tests.rs
+++ b/crates/discovery/src/fleet_tests.rs
@@ -88,7 +88,7 @@
         out_of_range.initial_delay(1.0) < MAX_POLL_INTERVAL
             && out_of_range.retry_delay(40, None, 1.0) < MAX_POLL_INTERVAL * 2
     );
-    // Without required polling a large fleet is not spread either.
+    // The polls of a large fleet are not spread either if the settings require no polling.
     assert_eq!(
         PollSchedule { relay_count: 350, poll_interval: Duration::ZERO }.initial_delay(1.0),
         Duration::ZERO
