--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,6 +1,6 @@
-//! The operators' calls at the relay's second address (the admin address), and the state that they set: the
-//! endpoints in maintenance, standby, and the times at which client connections are closed in standby. No
-//! I/O. Times are durations since the relay's start.
+//! The operators' calls at the relay's admin address, and the state that they set: the endpoints in
+//! maintenance, standby, and the times at which client connections are closed in standby. No I/O. Times are
+//! durations since the relay's start.
 //!
 //! - [`parse_request`] parses a call, [`MaintenanceState`] answers it and keeps the resulting state.
 #![forbid(unsafe_code)]
--- a/crates/maintenance/src/state.rs
+++ b/crates/maintenance/src/state.rs
@@ -1,4 +1,4 @@
-//! The state set by operators' calls: endpoints in maintenance and standby. Also whether the process serves.
+//! The state set by operators' calls (endpoints in maintenance, standby), and whether the process serves.
 
 use crate::call::{AdminRequest, AdminResponse, response};
 use std::collections::BTreeSet;
@@ -89,7 +89,7 @@
         self.in_maintenance.contains(id)
     }
 
-    /// Returns whether a `PING` at the address for clients gets a positive answer.
+    /// Returns whether a client's `PING` gets a positive answer.
     pub fn should_answer_ping(&self) -> bool {
         self.standby_since.is_none() && !self.is_stopping
     }
@@ -165,5 +165,5 @@
     }
 }
 
-/// Answer to a call that names an unknown endpoint. Guards against misspelt ids.
+/// Answer to a call that names an endpoint that was never listed. Guards against misspelt ids.
 const NEVER_LISTED: AdminResponse = response(404, "no endpoint of that id was listed");
