--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -236,7 +236,7 @@
         let spool = self.spool.borrow();
         let Some(stored) = spool.get(message.0) else { return };
         let id = stored.accepted.id.clone();
-        self.metrics.count_key_rest(outcome.name());
+        self.metrics.count_key_hold_off(outcome.name());
         debug!(
             "key {:016x} on hold-off: message {} in call {} may still be running after outcome {}",
             key.0,
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the process in the Prometheus text format, served at the second address (`GET /metrics`).
+//! Metrics of the process in the OpenMetrics text format, served on the admin address (`GET /metrics`).
 
 use crate::violations::{ViolationKind, Violations};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -102,7 +102,7 @@
     }
 
     /// Counts a hold-off of an ordering key after an attempt with this outcome that may still be running.
-    pub(crate) fn count_key_rest(&self, outcome: &str) {
+    pub(crate) fn count_key_hold_off(&self, outcome: &str) {
         self.counters.key_rests.get_or_create(&label(outcome)).inc();
     }
 
@@ -128,35 +128,48 @@
 impl Gauges {
     fn register(&self, registry: &mut Registry) {
         let mut register = |name, help, gauge: &Gauge| registry.register(name, help, gauge.clone());
-        register("client_connections", "Client connections open now", &self.client_connections);
-        register("held_messages", "Accepted messages whose end nobody has taken yet", &self.held_messages);
-        register("calls_in_flight", "Calls to endpoints in flight now", &self.calls_in_flight);
-        let help = "Shortest span, in milliseconds, from the end of an attempt that may still be running to the next \
-            message of its key; -1 before the first";
+        register("client_connections", "Open client connections", &self.client_connections);
+        register(
+            "held_messages",
+            "Accepted messages in the spool: in progress, or with the notification of their end pending",
+            &self.held_messages,
+        );
+        register("calls_in_flight", "Calls to endpoints in flight", &self.calls_in_flight);
+        let help = "Shortest time, in milliseconds, from the end of an attempt that may still be running to the next \
+            message of its ordering key; -1 if none was measured yet";
         register("shortest_key_gap_ms", help, &self.shortest_key_gap_ms);
-        register("unwritten", "1 while something can't be written to the state folder", &self.unwritten);
+        register(
+            "unwritten",
+            "1 while data for the state folder is not written yet, 0 otherwise",
+            &self.unwritten,
+        );
     }
 }
 
 impl Counters {
     fn register(&self, registry: &mut Registry) {
-        let help = "Commits of the spool that failed after one that worked";
+        let help = "Failures to commit the spool; consecutive ones count once";
         registry.register("write_failures", help, self.write_failures.clone());
-        let help = "Messages rejected, as another one is held or has ended under their ids";
+        let help =
+            "Messages rejected because their ids belong to different messages that are held or have ended";
         registry.register("id_conflicts", help, self.id_conflicts.clone());
         let mut register = |name, help, family: &Family<Label, Counter>| {
             registry.register(name, help, family.clone());
         };
         register(
             "violations",
-            "Rules that a guard found about to be broken; none is expected",
+            "Violations of rules that a check detected and, if possible, prevented; none is expected",
             &self.violations,
         );
-        register("final_answers", "Final answers to messages", &self.final_answers);
-        register("sends_stopped", "Attempts stopped right before their first byte", &self.sends_stopped);
-        let help = "Rests of a key behind an attempt that may still be running, by how that ended";
+        register("final_answers", "Final answers to messages, by outcome", &self.final_answers);
+        register(
+            "sends_stopped",
+            "Attempts stopped right before their first byte was sent, by reason",
+            &self.sends_stopped,
+        );
+        let help = "Hold-offs of ordering keys after an attempt that may still be running, by the outcome of the attempt";
         register("key_rests", help, &self.key_rests);
-        register("connections_closed", "Client connections that ended, by reason", &self.connections_closed);
+        register("connections_closed", "Closed client connections, by reason", &self.connections_closed);
     }
 }
 
