--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -21,9 +21,11 @@
     pub(crate) address: SocketAddr,
     pub(crate) zone: String,
     pub(crate) kind: String,
-    pub(crate) dst: u32,
+    /// Number of the destination.
+    pub(crate) destination: u32,
     pub(crate) phase: Phase,
-    pub(crate) size: f64,
+    /// Listed rate of the route, in calls per second of all relays together; 0 if none is listed.
+    pub(crate) rate: f64,
     /// Time of the last start in Unix milliseconds; 0 if it was long ago.
     pub(crate) up_since_ms: u64,
 }
@@ -65,9 +67,9 @@
         address: text("host_port")?.parse().ok()?,
         zone: mountshift_settings::normalize_name(text("locality")?),
         kind: mountshift_settings::normalize_name(text("flavor")?),
-        dst: u32::try_from(json["cell"].as_u64()?).ok()?,
+        destination: u32::try_from(json["cell"].as_u64()?).ok()?,
         phase,
-        size: json["size"].as_f64().unwrap_or(0.0),
+        rate: json["size"].as_f64().unwrap_or(0.0),
         up_since_ms: json["up_since_ms"].as_u64().unwrap_or(0),
     })
 }
@@ -233,7 +235,13 @@
     fn on_list(&mut self, list: &EndpointList) {
         let is_change = list.is_full || !list.entries.is_empty();
         let level = if is_change { Level::Info } else { Level::Debug };
-        log!(level, "list {}: {} entries, whole: {}", list.revision, list.entries.len(), list.is_full);
+        log!(
+            level,
+            "endpoint list {}: {} entries, whole: {}",
+            list.revision,
+            list.entries.len(),
+            list.is_full
+        );
         self.options.revision = Some(list.revision);
         self.consecutive_failures = 0;
         self.has_responded = true;
--- a/crates/relay/src/startup/state_dir.rs
+++ b/crates/relay/src/startup/state_dir.rs
@@ -44,8 +44,8 @@
             let successor = successor.map_err(unusable(successor_path.join(LOCK_FILE)))?;
             let successor_spool_exists = successor_path.join(mountshift_spool::SPOOL_FILE).exists();
             match mountshift_handover::determine_role(
-                active.acquired,
-                successor.acquired,
+                active.is_acquired,
+                successor.is_acquired,
                 successor_spool_exists,
             ) {
                 // The running successor is about to acquire the free lock, unless it is stopping. Both locks are
@@ -95,21 +95,21 @@
 /// Acquires the lock in `dir` if it is free; it is held while the returned file is open.
 pub(crate) fn take_free_lock(dir: &Path) -> Option<File> {
     let attempt = try_lock(dir).ok()?;
-    attempt.acquired.then_some(attempt.file)
+    attempt.is_acquired.then_some(attempt.file)
 }
 
 /// A lock file, and whether this process acquired its lock.
 struct LockAttempt {
     file: File,
-    acquired: bool,
+    is_acquired: bool,
 }
 
 /// Tries to acquire the lock in `dir`; it is held while the file is open.
 fn try_lock(dir: &Path) -> io::Result<LockAttempt> {
     let file = File::create(dir.join(LOCK_FILE))?;
     match file.try_lock() {
-        Ok(()) => Ok(LockAttempt { file, acquired: true }),
-        Err(TryLockError::WouldBlock) => Ok(LockAttempt { file, acquired: false }),
+        Ok(()) => Ok(LockAttempt { file, is_acquired: true }),
+        Err(TryLockError::WouldBlock) => Ok(LockAttempt { file, is_acquired: false }),
         Err(TryLockError::Error(source)) => Err(source),
     }
 }
--- a/crates/relay/src/transient.rs
+++ b/crates/relay/src/transient.rs
@@ -1,4 +1,4 @@
-//! Transient socket errors: they leave the connection intact, and the same call can succeed shortly after.
+//! Transient errors of socket calls: they leave the connection intact, and the same call can succeed shortly after.
 
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWrite, AsyncWriteExt};
@@ -7,8 +7,8 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Pause before a failed call is repeated.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Pause before a failed socket call is repeated.
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
 /// Returns whether the error does not concern the connection itself: the call was interrupted, or the system is
 /// temporarily out of memory.
@@ -18,7 +18,7 @@
 
 /// Waits until a call that failed with a transient error may succeed.
 pub(crate) async fn pause() {
-    Timer::after(PAUSE).await;
+    Timer::after(RETRY_PAUSE).await;
 }
 
 /// Waits until the socket may be readable, or for a short pause if the system can't wait for it (`epoll_ctl` fails).
--- a/crates/relay/src/upstream/endpoint_table.rs
+++ b/crates/relay/src/upstream/endpoint_table.rs
@@ -61,7 +61,7 @@
     pub(crate) fn retire_replaced_endpoint(&mut self, entry: &EndpointEntry) -> Option<EndpointId> {
         let id = *self.ids.get(entry.id.as_str())?;
         let known = self.endpoints.get(&id)?;
-        let is_same = known.destination == DestinationId(entry.dst)
+        let is_same = known.destination == DestinationId(entry.destination)
             && self.zone_name(known.zone) == entry.zone
             && known.kind == self.destination_kind_id(&entry.kind);
         if is_same {
@@ -89,9 +89,9 @@
             name,
             zone: self.zone_id(&entry.zone),
             kind: self.destination_kind_id(&entry.kind),
-            destination: DestinationId(entry.dst),
+            destination: DestinationId(entry.destination),
             status,
-            rate: entry.size,
+            rate: entry.rate,
         };
         self.count_destination(endpoint.destination);
         let previous = self.endpoints.insert(id, endpoint);
--- a/crates/relay/src/upstream/endpoint_table_tests.rs
+++ b/crates/relay/src/upstream/endpoint_table_tests.rs
@@ -6,9 +6,9 @@
         address: ([127, 0, 0, 1], 80).into(),
         zone: "north".into(),
         kind: "single".into(),
-        dst: destination,
+        destination,
         phase,
-        size: 1.0,
+        rate: 1.0,
         up_since_ms: 0,
     }
 }
