--- a/crates/relay/src/admin.rs
+++ b/crates/relay/src/admin.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 server for operators: maintenance commands and metrics, one request per connection. The semantics of the
-//! commands are in `mountshift_maintenance`. Responses never wait for the dispatcher.
+//! HTTP/1.1 server on the admin address: maintenance commands and metrics for operators, one request per connection.
+//! The semantics of the commands are in `mountshift_maintenance`. Responses never wait for the dispatcher.
 
 use crate::clients::ACCEPT_PAUSE;
 use crate::metrics::Metrics;
--- a/crates/relay/src/error.rs
+++ b/crates/relay/src/error.rs
@@ -32,7 +32,7 @@
     /// The listening socket for clients can't be opened.
     #[error("can't listen for clients on {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
-    /// The listening socket for operators can't be opened.
+    /// The listening socket of the admin address can't be opened.
     #[error("mgmt: can't listen for operators on {address}: {source}")]
     AdminListen { address: SocketAddr, source: io::Error },
     /// A file or folder of the relay's state is not accessible.
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -106,7 +106,9 @@
     info!("{} starts as {:?}", config.name, state_dir.role);
     let initial_list = discovery::parse_list(&config.initial_list, config.discovery);
     if initial_list.is_none() {
-        warn!("the known list of the configuration is invalid; requesting the full list from discovery");
+        warn!(
+            "the endpoint list `known` of the configuration is missing or invalid; requesting the full list from discovery"
+        );
     }
     let files = StateFiles::new(&config);
     let stored_time = match state_dir.role {
--- a/crates/relay/src/signals.rs
+++ b/crates/relay/src/signals.rs
@@ -36,7 +36,7 @@
         Ok(StartSignals { signals, reload_pending_since: None })
     }
 
-    /// Waits for SIGTERM or SIGINT.
+    /// Waits for SIGTERM or SIGINT; records the time of a SIGHUP received meanwhile.
     pub(crate) async fn stop_requested(&mut self) {
         loop {
             match self.signals.next().await {
--- a/crates/relay/src/startup/config.rs
+++ b/crates/relay/src/startup/config.rs
@@ -16,7 +16,7 @@
 const LISTENER_VARIABLE: &str = "NODE_ACCEPT_FD";
 /// Variable with the address of discovery; ignored by a reload.
 const DISCOVERY_VARIABLE: &str = "NODE_DISCOVERY";
-/// Variable with the listening address for operators.
+/// Variable with the admin address.
 const ADMIN_VARIABLE: &str = "NODE_MGMT";
 
 /// Unit of the memory and disk limits in the file.
@@ -86,7 +86,7 @@
     pub(crate) name: String,
     /// Listening address for clients.
     pub(crate) listen: SocketAddr,
-    /// Listening address for operators; older configurations have none.
+    /// Admin address, where operators' calls are received; older configurations have none.
     pub(crate) admin_listen: Option<SocketAddr>,
     /// Descriptor of the listening socket for clients, if it is inherited from the platform.
     pub(crate) inherited_listener: Option<i32>,
@@ -189,7 +189,7 @@
         text.parse().map_err(|_| ConfigError::BadAddress { field, text })
     }
 
-    /// Returns the listening address for operators, if configured. A field that is not text is an error: if it were
+    /// Returns the admin address, if configured. A field that is not text is an error: if it were
     /// ignored, the relay would start without an address that operators rely on.
     fn admin_address(&self) -> Result<Option<SocketAddr>, ConfigError> {
         let field = "mgmt";
--- a/crates/relay/src/startup/listener.rs
+++ b/crates/relay/src/startup/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets for clients and for operators.
+//! Listening sockets for clients and for the admin address.
 
 use super::config::StartConfig;
 use super::retry::RetryDeadlines;
@@ -21,7 +21,7 @@
     }
 }
 
-/// Binds the address for operators, if configured.
+/// Binds the admin address, if configured.
 pub(crate) async fn admin_listener(
     config: &StartConfig,
     retry_deadlines: &RetryDeadlines,
--- a/crates/relay/src/startup/opening.rs
+++ b/crates/relay/src/startup/opening.rs
@@ -26,7 +26,7 @@
         prepend(events, self.0);
     }
 
-    /// Rejects and removes the submissions among the events, none of which is accepted.
+    /// Rejects the submissions among the events, none of which has been accepted yet, and removes them.
     fn reject_submissions(&mut self) {
         self.0.retain(|event| !reject_submission(event));
     }
@@ -115,7 +115,7 @@
             break;
         }
     }
-    info!("stopped before its spool was open");
+    info!("relay stopped before its spool was open");
 }
 
 #[cfg(test)]
--- a/crates/relay/src/startup/spool.rs
+++ b/crates/relay/src/startup/spool.rs
@@ -54,8 +54,8 @@
             let spool = await_while_serving(tasks, &mut deferred_events, opening).await?;
             Ok(spool.map(|spool| ActiveSpool { spool, deferred_events, stored_time, previous_process: None }))
         }
-        // The active spool is not opened here: opening it truncates an incomplete record and removes an unfinished
-        // compaction, both of which the active process may be writing.
+        // The active spool is not opened here, because the active process may be writing it. Opening removes the file
+        // of an unfinished compaction, and the next commit truncates an incomplete record.
         Role::Successor => accept_until_active(config, state_dir, files, stored_time, tasks, &opener).await,
     }
 }
@@ -133,10 +133,12 @@
     }))
 }
 
-/// Messages accepted by a successor, and the time line of their timestamps.
+/// Messages accepted by a successor, and the time lines that their timestamps are translated between.
 struct SuccessorMessages {
     spool: Spool,
+    /// Time line by which the successor dated the messages.
     dated_by: StoredTime,
+    /// Time line that all processes share.
     shared_time: StoredTime,
 }
 
@@ -159,7 +161,8 @@
 /// The spool of a successor, as used by the active process: if a successor exits without becoming active, the active
 /// process adopts the messages it accepted.
 pub(crate) struct SuccessorSpool {
-    /// Whether a successor that was running at the start of this process may have accepted messages in order before.
+    /// Whether a successor that was running at the start of this process may hold messages in order that it accepted
+    /// earlier.
     may_hold_earlier_messages: Cell<bool>,
     dir: PathBuf,
     max_bytes: u64,
--- a/crates/relay/src/startup/tasks.rs
+++ b/crates/relay/src/startup/tasks.rs
@@ -32,7 +32,7 @@
 /// Listening sockets of the relay.
 pub(crate) struct Listeners {
     pub(crate) clients: Async<TcpListener>,
-    /// Socket for operators, if configured.
+    /// Socket of the admin address, if configured.
     pub(crate) admin: Option<Async<TcpListener>>,
 }
 
--- a/crates/relay/src/state_files.rs
+++ b/crates/relay/src/state_files.rs
@@ -120,7 +120,10 @@
                 None
             }
             Err(e) => {
-                error!("{}: {e}; waits and breakers of the process before are not known", path.display());
+                error!(
+                    "{}: {e}; Retry-After waits and breakers of the process before are not known",
+                    path.display()
+                );
                 None
             }
         }
@@ -142,7 +145,8 @@
         }
     }
 
-    /// Writes the marker that tells a successor that this process starts no more calls.
+    /// Writes the marker by which a successor detects that this process hands over: from then on this process sends
+    /// nothing new and accepts no message in order.
     pub(crate) fn write_handover_marker(&self) {
         self.marker.write(&self.process);
     }
--- a/crates/relay/src/successor.rs
+++ b/crates/relay/src/successor.rs
@@ -72,7 +72,7 @@
     stopping_since: Option<Instant>,
     /// Name of the active process, once it has marked its handover.
     previous_process: Option<String>,
-    /// Whether the last commit of the spool failed, which is then logged already.
+    /// Whether the last commit of the spool failed and this has been logged.
     is_failure_logged: bool,
 }
 
@@ -104,7 +104,7 @@
                 }
             } else if self.options.active_lock.try_lock().is_ok() {
                 let stored = self.options.spool.messages().len();
-                info!("owns the state folder now, with {stored} messages accepted as successor");
+                info!("this process owns the state folder now, with {stored} messages accepted as successor");
                 return IntakeEnd::BecameActive(std::mem::take(&mut self.deferred_events));
             }
         }
@@ -168,7 +168,7 @@
             self.acceptances.add_repeat(successor_message(number), reply_to);
         } else {
             info!(
-                "submission rejected: the id of the successor's message {number} is used by a different message"
+                "submission rejected: message {number} of the successor's spool has the same id but other content"
             );
             let _ = reply_to.try_send(SubmissionReply::Rejected { retry_after_ms: 0 });
         }
@@ -201,8 +201,8 @@
         })
     }
 
-    /// Removes the message of a client that could not be sent the "accepted" reply and will submit it again, unless
-    /// another client has submitted it too.
+    /// Handles a client that did not get the "accepted" reply and will submit its message again: removes the message,
+    /// unless another client has submitted it too.
     fn on_client_unreachable(&mut self, message: MessageId) {
         if self.acceptances.release_client(message) {
             self.remove(message);
@@ -282,7 +282,7 @@
             }
         }
         let stored = self.options.spool.messages().len();
-        info!("stopped before it was active, with {stored} messages in the successor's spool");
+        info!("relay stopped before it became active, with {stored} messages in the successor's spool");
     }
 }
 
--- a/crates/relay/src/transitions.rs
+++ b/crates/relay/src/transitions.rs
@@ -1,5 +1,5 @@
 //! Log lines of state transitions of messages, calls and connections. All have the same fields in the same order, so
-//! that a message can be traced through a log. Logged at level debug, because every message has some.
+//! that a message can be traced through a log. Logged at level debug, because every message causes several.
 
 use std::fmt;
 
