--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Value of the gauge `shortest_key_gap_ms` before the first hold-off of an ordering key.
+/// Value of the gauge `shortest_key_gap_ms` until the first gap is measured.
 const NO_KEY_GAP: i64 = -1;
 
 /// Label of a counter by kind, outcome or reason.
