--- a/crates/discovery/src/poll_schedule.rs
+++ b/crates/discovery/src/poll_schedule.rs
@@ -69,9 +69,9 @@
         self.poll_interval.min(MAX_POLL_INTERVAL).mul_f64(MAX_SPREAD_SHARE * large_fleet_factor)
     }
 
-    /// Returns the time limits of a poll. If `is_up_to_date`, discovery has answered since the start, and the
-    /// poll is a watch that waits for a newer list; otherwise the answer is due immediately. The cost is one
-    /// poll per wait while nothing changes; its answer carries no entries.
+    /// Returns the time limits of a poll. If `is_up_to_date`, the last poll returned a list, and this poll is a
+    /// watch that waits for a newer one; otherwise the answer is due immediately. The cost of a watch is one poll
+    /// per wait while nothing changes; its answer carries no entries.
     pub fn poll_timeouts(&self, is_up_to_date: bool) -> PollTimeouts {
         if is_up_to_date {
             let wait = self.poll_interval.clamp(MIN_WATCH_WAIT, MAX_WATCH_WAIT);
