--- a/crates/relay/src/startup/spool.rs
+++ b/crates/relay/src/startup/spool.rs
@@ -30,7 +30,7 @@
     pub(crate) spool: Spool,
     /// Events received before this process was active that the dispatcher has to handle, in order.
     pub(crate) deferred_events: DeferredEvents,
-    /// Time line of stored times.
+    /// Time line by which stored data is dated.
     pub(crate) stored_time: StoredTime,
     /// Name of the process that handed over to this one, if known.
     pub(crate) previous_process: Option<String>,
--- a/crates/relay/src/successor.rs
+++ b/crates/relay/src/successor.rs
@@ -50,7 +50,7 @@
     pub(crate) ordered_classes: Vec<bool>,
     pub(crate) maintenance: Rc<RefCell<MaintenanceState>>,
     pub(crate) files: &'a StateFiles,
-    /// Time line of stored times.
+    /// Time line by which stored data is dated.
     pub(crate) stored_time: StoredTime,
     /// Channel that is closed when the relay stops accepting and starts to close client connections.
     pub(crate) clients_stopping: Sender<()>,
