--- a/crates/relay/src/startup/config.rs
+++ b/crates/relay/src/startup/config.rs
@@ -189,8 +189,8 @@
         text.parse().map_err(|_| ConfigError::BadAddress { field, text })
     }
 
-    /// Returns the admin address, if configured. A field that is not text is an error: if it were
-    /// ignored, the relay would start without an address that operators rely on.
+    /// Returns the admin address, if configured. A field that is not text is an error: if it were ignored, the relay
+    /// would start without an address that operators rely on.
     fn admin_address(&self) -> Result<Option<SocketAddr>, ConfigError> {
         let field = "mgmt";
         if (self.variable)(ADMIN_VARIABLE).is_none() && self.json[field].is_null() {
--- a/crates/relay/src/startup/spool.rs
+++ b/crates/relay/src/startup/spool.rs
@@ -54,7 +54,7 @@
             let spool = await_while_serving(tasks, &mut deferred_events, opening).await?;
             Ok(spool.map(|spool| ActiveSpool { spool, deferred_events, stored_time, previous_process: None }))
         }
-        // The active spool is not opened here, because the active process may be writing it. Opening removes the file
+        // The active spool is not opened here, because the active process may write to it. Opening removes the file
         // of an unfinished compaction, and the next commit truncates an incomplete record.
         Role::Successor => accept_until_active(config, state_dir, files, stored_time, tasks, &opener).await,
     }
