--- a/crates/relay/src/startup/spool.rs
+++ b/crates/relay/src/startup/spool.rs
@@ -30,7 +30,7 @@
     pub(crate) spool: Spool,
     /// Events received before this process was active that the dispatcher has to handle, in order.
     pub(crate) deferred_events: DeferredEvents,
-    /// Time line of stored times.
+    /// Time line by which stored data is dated.
     pub(crate) stored_time: StoredTime,
     /// Name of the process that handed over to this one, if known.
     pub(crate) previous_process: Option<String>,
@@ -54,8 +54,8 @@
             let spool = await_while_serving(tasks, &mut deferred_events, opening).await?;
             Ok(spool.map(|spool| ActiveSpool { spool, deferred_events, stored_time, previous_process: None }))
         }
-        // The active spool is not opened here: opening it truncates an incomplete record and removes an unfinished
-        // compaction, both of which the active process may be writing.
+        // The active spool is not opened here, because the active process may write to it. Opening removes the file
+        // of an unfinished compaction, and the next commit truncates an incomplete record.
         Role::Successor => accept_until_active(config, state_dir, files, stored_time, tasks, &opener).await,
     }
 }
@@ -133,10 +133,12 @@
     }))
 }
 
-/// Messages accepted by a successor, and the time line of their timestamps.
+/// Messages accepted by a successor, and the time lines that their timestamps are translated between.
 struct SuccessorMessages {
     spool: Spool,
+    /// Time line by which the successor dated the messages.
     dated_by: StoredTime,
+    /// Time line that all processes share.
     shared_time: StoredTime,
 }
 
@@ -159,7 +161,8 @@
 /// The spool of a successor, as used by the active process: if a successor exits without becoming active, the active
 /// process adopts the messages it accepted.
 pub(crate) struct SuccessorSpool {
-    /// Whether a successor that was running at the start of this process may have accepted messages in order before.
+    /// Whether a successor that was running at the start of this process may hold messages in order that it accepted
+    /// earlier.
     may_hold_earlier_messages: Cell<bool>,
     dir: PathBuf,
     max_bytes: u64,
@@ -210,7 +213,7 @@
 
     /// Returns the spool of an exited successor, or `None` if a successor runs or no spool exists.
     pub(crate) fn take_orphaned(&self) -> Option<OrphanedSpool> {
-        let file = self.dir.join(mountshift_spool::FILE_NAME);
+        let file = self.dir.join(mountshift_spool::SPOOL_FILE);
         if !self.may_hold_earlier_messages() && !file.exists() {
             return None;
         }
@@ -314,7 +317,7 @@
     }
     info!("took over {} messages accepted as successor of the active process", accepted_by_successor.len());
     drop(successor);
-    let path = state_dir.successor_path.join(mountshift_spool::FILE_NAME);
+    let path = state_dir.successor_path.join(mountshift_spool::SPOOL_FILE);
     retry_deadlines
         .retry_required(|| std::fs::remove_file(&path))
         .await
--- a/crates/relay/src/state_files.rs
+++ b/crates/relay/src/state_files.rs
@@ -8,7 +8,7 @@
 use crate::startup::retry::RetryDeadlines;
 use log::{error, info};
 use mountshift_discovery::{DRAIN_RECORD_DISK_SHARE, DRAIN_RECORD_FILE, DrainRecord, ParsedDrainRecord};
-use mountshift_handover::{FORMAT, RouteRecord, SNAPSHOT_FILE, Snapshot};
+use mountshift_handover::{RouteRecord, SNAPSHOT_FILE, SNAPSHOT_FORMAT, Snapshot};
 use mountshift_maintenance::MaintenanceState;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -120,7 +120,10 @@
                 None
             }
             Err(e) => {
-                error!("{}: {e}; waits and breakers of the process before are not known", path.display());
+                error!(
+                    "{}: {e}; Retry-After waits and breakers of the process before are not known",
+                    path.display()
+                );
                 None
             }
         }
@@ -129,7 +132,7 @@
     /// Writes the complete snapshot of the routes for a later process.
     pub(crate) fn write_snapshot(&self, written_ms: u64, routes: Vec<RouteRecord>) {
         let writer = Some(self.process.to_string());
-        let snapshot = Snapshot { format: FORMAT, writer, written_ms, routes };
+        let snapshot = Snapshot { format: SNAPSHOT_FORMAT, writer, written_ms, routes };
         self.replace(SNAPSHOT_FILE, &snapshot.to_json());
     }
 
@@ -142,7 +145,8 @@
         }
     }
 
-    /// Writes the marker that tells a successor that this process starts no more calls.
+    /// Writes the marker by which a successor detects that this process hands over: from then on this process sends
+    /// nothing new and accepts no message in order.
     pub(crate) fn write_handover_marker(&self) {
         self.marker.write(&self.process);
     }
