--- a/crates/cli/src/lab/hunt.rs
+++ b/crates/cli/src/lab/hunt.rs
@@ -29,7 +29,7 @@
     let base = read_scenario(&arguments.scenario)?;
     let bar = progress_bar(arguments.budget as u64);
     let goal = if arguments.rules { SearchGoal::Rules } else { SearchGoal::Loss };
-    let found = hunt::hunt(&base, goal, arguments.budget, arguments.seed, &|| bar.inc(1));
+    let found = hunt::find_worst_day(&base, goal, arguments.budget, arguments.seed, &|| bar.inc(1));
     bar.finish_and_clear();
     let Some(found) = found else {
         println!("{} scripts tried: no rule broken", arguments.budget);
--- a/crates/lab/src/baselines/mod.rs
+++ b/crates/lab/src/baselines/mod.rs
@@ -51,7 +51,7 @@
     backoff: Backoff,
     retry_budget: RetryBudget,
     breakers: BTreeMap<DestinationId, CircuitBreaker>,
-    /// Messages sent to each endpoint in this step.
+    /// Number of messages sent to each endpoint in this step.
     sent_in_step: BTreeMap<EndpointId, usize>,
 }
 
--- a/crates/lab/src/baselines/state.rs
+++ b/crates/lab/src/baselines/state.rs
@@ -22,7 +22,8 @@
     in_flight: bool,
     /// Time and zone of the first attempt that may have run.
     first_possible_run: Option<(Duration, ZoneId)>,
-    /// Whether the final answer is given while its acknowledgement is pending or an attempt is in flight.
+    /// Whether the final answer is given or not needed; the message is kept until the answer is acknowledged or
+    /// the attempt in flight ends.
     has_final_answer: bool,
 }
 
@@ -333,11 +334,12 @@
     /// Returns the endpoints that the message may be sent to now.
     pub(super) fn permitted_endpoints(
         &self,
-        message: MessageId,
+        id: MessageId,
         destination: DestinationId,
     ) -> impl Iterator<Item = EndpointId> + '_ {
-        let held = self.messages.get(&message);
-        let required_zone = held.and_then(|held| held.required_zone(self.class_of(held).idempotency));
+        let message = self.messages.get(&id);
+        let required_zone =
+            message.and_then(|message| message.required_zone(self.class_of(message).idempotency));
         let listed = self.endpoints_of.get(&destination).into_iter().flatten().copied();
         listed.filter(move |endpoint| self.is_permitted(*endpoint, required_zone))
     }
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -93,7 +93,7 @@
     next_message: u64,
     /// Idle connections, by relay and addressed endpoint.
     idle_connections: FxHashMap<(u32, u32), Vec<IdleConnection>>,
-    /// Deduplication records, by message and by the destination or zone that recognizes repeats.
+    /// Deduplication records, by message and by the destination or zone that deduplicates it.
     deduplication: FxHashMap<(u64, u32), Deduplication>,
     /// Replaced endpoints, by fault; the endpoint list is updated when the fault ends.
     replacements: BTreeMap<usize, Vec<Replacement>>,
@@ -172,7 +172,7 @@
     /// Returns the number of a destination by its name, such as `banks/3`.
     pub fn destination(&self, name: &str) -> Option<u32> {
         let count = self.world.destinations.len() as u32;
-        (0..count).find(|destination| self.world.name(*destination) == name)
+        (0..count).find(|destination| self.world.destination_name(*destination) == name)
     }
 
     /// Simulates the day to its end.
@@ -198,10 +198,10 @@
             self.record_endpoint(endpoint);
         }
         for fault in 0..self.world.faults.len() {
-            let begins = self.world.faults[fault].begins;
-            let ends = self.world.faults[fault].ends;
-            self.schedule(begins, Event::FaultBegins { fault });
-            self.schedule(ends, Event::FaultEnds { fault });
+            let starts_at = self.world.faults[fault].starts_at;
+            let ends_at = self.world.faults[fault].ends_at;
+            self.schedule(starts_at, Event::FaultBegins { fault });
+            self.schedule(ends_at, Event::FaultEnds { fault });
         }
         self.schedule(0, Event::Sample);
         for relay in 0..self.relays.len() {
@@ -267,12 +267,12 @@
     fn is_over(&self) -> bool {
         let all_arrived = self.next_request == self.requests.len();
         let idle = self.open_messages == 0 && self.calls.is_empty() && all_arrived;
-        idle && self.now > self.length() && self.relays.iter().all(|relay| relay.held_messages() == 0)
+        idle && self.now > self.length() && self.relays.iter().all(|relay| relay.spooled_messages() == 0)
     }
 
-    /// Samples queue lengths, calls in flight and capacities for the timeline.
+    /// Samples the numbers of held messages and of calls in flight, and the capacities, for the timeline.
     fn record_sample(&mut self) {
-        let queued: usize = self.relays.iter().map(Relay::held_messages).sum();
+        let queued: usize = self.relays.iter().map(Relay::spooled_messages).sum();
         let in_flight: usize = self.relays.iter().map(Relay::calls_in_flight).sum();
         self.statistics.queued.add(self.now, queued as f64);
         self.statistics.calls_in_flight.add(self.now, in_flight as f64);
--- a/crates/lab/src/day/clients.rs
+++ b/crates/lab/src/day/clients.rs
@@ -68,11 +68,11 @@
         let Request { class, tenant, destination, key, .. } = request;
         let request = u64::from(request_id);
         self.record(Fact::Submitted { message, request, relay, class, destination, key, deadline });
-        let host = &mut self.relays[relay as usize];
-        host.inbox.push(RelayEvent::Submitted { message, class, tenant, destination, key, deadline });
-        if host.stalled_until > self.now {
-            let patience = self.world.scenario.clients.submit_timeout.us();
-            self.schedule(self.now + patience, Event::ClientTimeout { message });
+        let relay_state = &mut self.relays[relay as usize];
+        relay_state.inbox.push(RelayEvent::Submitted { message, class, tenant, destination, key, deadline });
+        if relay_state.stalled_until > self.now {
+            let timeout = self.world.scenario.clients.submit_timeout.us();
+            self.schedule(self.now + timeout, Event::ClientTimeout { message });
         }
     }
 
@@ -118,35 +118,35 @@
         }
     }
 
-    /// Passes a relay's answer to the client of a message: the acceptance if `end` is `None`, else the final answer.
-    pub(super) fn answer_client(&mut self, message_id: u64, end: Option<FinalAnswer>) {
+    /// Passes a relay's answer to the client of a message: the acceptance if `answer` is `None`, else the final answer.
+    pub(super) fn answer_client(&mut self, message_id: u64, answer: Option<FinalAnswer>) {
         let Some(message) = self.messages.get_mut(&message_id) else { return };
         if message.client == ClientState::GaveUp {
-            if end.is_none() {
+            if answer.is_none() {
                 let relay = message.relay;
                 self.relays[relay as usize].inbox.push(RelayEvent::ClientGone { message: message_id });
             }
             return;
         }
         message.client = ClientState::Answered;
-        match end {
+        match answer {
             None => self.record(Fact::Accepted { message: message_id }),
-            Some(end) => {
+            Some(answer) => {
                 self.record(Fact::FinalAnswerReceived { message: message_id });
-                self.end_message(message_id, end);
+                self.end_message(message_id, answer);
             }
         }
     }
 
     /// Ends a message that was not delivered; its client may submit the request again if it was rejected.
-    pub(super) fn end_message(&mut self, message_id: u64, end: FinalAnswer) {
+    pub(super) fn end_message(&mut self, message_id: u64, answer: FinalAnswer) {
         let Some(message) = self.messages.get(&message_id) else { return };
         if message.closed {
             return;
         }
         let request = message.request;
         self.close_message(message_id);
-        match end {
+        match answer {
             FinalAnswer::Failed => self.statistics.failed += 1,
             FinalAnswer::Rejected { retry_after } => {
                 self.statistics.rejected += 1;
--- a/crates/lab/src/day/connections.rs
+++ b/crates/lab/src/day/connections.rs
@@ -36,7 +36,7 @@
         let partitions = self.partitions.iter().map(|fault| &self.world.faults[*fault]);
         let between =
             partitions.filter(|p| p.relays.contains(&relay) && p.endpoints.binary_search(&endpoint).is_ok());
-        let partitioned_until = between.map(|partition| partition.ends).max().unwrap_or(0);
+        let partitioned_until = between.map(|partition| partition.ends_at).max().unwrap_or(0);
         partitioned_until.max(self.servers[endpoint as usize].effects.silent_until)
     }
 
--- a/crates/lab/src/day/discovery.rs
+++ b/crates/lab/src/day/discovery.rs
@@ -25,14 +25,14 @@
             return;
         }
         let setup = self.servers[endpoint as usize].setup;
-        let host = &mut self.relays[relay as usize];
+        let relay_state = &mut self.relays[relay as usize];
         // Where discovery has limited capacity, a relay receives updates only over its own watch.
-        if self.world.scenario.relays.discovery.is_some() && !host.watching {
+        if self.world.scenario.relays.discovery.is_some() && !relay_state.watching {
             return;
         }
-        host.add_endpoint(&self.world, &setup, endpoint, status);
-        if host.up {
-            host.inbox.push(RelayEvent::EndpointListed { endpoint, status });
+        relay_state.add_endpoint(&self.world, &setup, endpoint, status);
+        if relay_state.up {
+            relay_state.inbox.push(RelayEvent::EndpointListed { endpoint, status });
         }
     }
 
@@ -46,7 +46,7 @@
             let list_late = fault.kind == ScriptedFaultKind::ListLate && fault.endpoints.contains(&endpoint);
             (watch_lost || list_late) && fault.is_active(self.now)
         };
-        self.world.faults.iter().filter(delays_update).map(|fault| fault.ends).max()
+        self.world.faults.iter().filter(delays_update).map(|fault| fault.ends_at).max()
     }
 
     /// Changes an endpoint's entry in the endpoint list and sends the update to every relay with a delay of its own.
@@ -88,27 +88,27 @@
     /// Passes the response to a poll to its relay: the full list, or an error while the relay's watch is lost.
     pub(super) fn handle_poll_answer(&mut self, relay: u32) {
         let watch_lost = |fault: &ResolvedFault| {
-            let kind = fault.kind == ScriptedFaultKind::WatchLost;
-            kind && fault.is_active(self.now) && fault.relays.contains(&relay)
+            let is_watch_fault = fault.kind == ScriptedFaultKind::WatchLost;
+            is_watch_fault && fault.is_active(self.now) && fault.relays.contains(&relay)
         };
         let failed = self.world.faults.iter().any(watch_lost);
-        let host = &mut self.relays[relay as usize];
-        if !host.up {
+        let relay_state = &mut self.relays[relay as usize];
+        if !relay_state.up {
             return;
         }
         if failed {
-            host.inbox.push(RelayEvent::PollFailed);
+            relay_state.inbox.push(RelayEvent::PollFailed);
             return;
         }
-        host.watching = true;
-        host.inbox.push(RelayEvent::FullListBegins);
+        relay_state.watching = true;
+        relay_state.inbox.push(RelayEvent::FullListBegins);
         for endpoint in 0..self.endpoint_list.len() as u32 {
             let status = self.endpoint_list[endpoint as usize];
             if status != EndpointStatus::Removed {
                 let setup = self.servers[endpoint as usize].setup;
-                let host = &mut self.relays[relay as usize];
-                host.add_endpoint(&self.world, &setup, endpoint, status);
-                host.inbox.push(RelayEvent::EndpointListed { endpoint, status });
+                let relay_state = &mut self.relays[relay as usize];
+                relay_state.add_endpoint(&self.world, &setup, endpoint, status);
+                relay_state.inbox.push(RelayEvent::EndpointListed { endpoint, status });
             }
         }
     }
--- a/crates/lab/src/day/endpoints.rs
+++ b/crates/lab/src/day/endpoints.rs
@@ -166,17 +166,17 @@
         let group = &self.world.scenario.groups[server.setup.group];
         let messages = &self.calls[&call_id].messages;
         // Drawn by request and endpoint, so that another policy that sends the request there meets the same time.
-        let first = messages.first().and_then(|message| self.messages.get(message));
-        let first = first.map_or(call_id, |message| u64::from(message.request));
+        let first_message = messages.first().and_then(|message| self.messages.get(message));
+        let first_request = first_message.map_or(call_id, |message| u64::from(message.request));
         let drawn = self.world.random.log_normal(
             Purpose::ServiceTime,
             group.response_time_spread.0,
-            first,
+            first_request,
             u64::from(endpoint),
         );
         let batch_factor = 1.0 + group.batch_item_cost.0 * (messages.len() as f64 - 1.0);
-        let is_affected =
-            self.world.random.uniform(Purpose::HeavyTail, first, u64::from(endpoint)) < HEAVY_TAIL_SHARE;
+        let is_affected = self.world.random.uniform(Purpose::HeavyTail, first_request, u64::from(endpoint))
+            < HEAVY_TAIL_SHARE;
         let factor_of = |tail: &HeavyTail| {
             if is_affected && self.carries_class(messages, tail.class) { tail.factor } else { 1.0 }
         };
--- a/crates/lab/src/day/events.rs
+++ b/crates/lab/src/day/events.rs
@@ -33,7 +33,7 @@
     PollAnswered { relay: u32 },
     /// A relay's poll for the endpoint list fails.
     PollFailed { relay: u32 },
-    /// The platform acknowledges a notification.
+    /// The recipient acknowledges a notification.
     NotificationAcknowledged { message: u64 },
     /// A client stops waiting for its message to be accepted.
     ClientTimeout { message: u64 },
--- a/crates/lab/src/day/faults.rs
+++ b/crates/lab/src/day/faults.rs
@@ -54,16 +54,16 @@
 
     fn begin_stall(&mut self, fault: &ResolvedFault) {
         for relay in fault.relays.iter().copied() {
-            self.record(Fact::RelayStalled { relay, until: fault.ends });
-            self.stall_relay(relay, fault.ends);
+            self.record(Fact::RelayStalled { relay, until: fault.ends_at });
+            self.stall_relay(relay, fault.ends_at);
         }
     }
 
     /// Stalls a relay and schedules the timeouts of clients whose submissions it has not read yet.
     fn stall_relay(&mut self, relay: u32, until: Time) {
-        let host = &mut self.relays[relay as usize];
-        host.stalled_until = host.stalled_until.max(until);
-        let unread = host.inbox.iter().filter_map(|event| match event {
+        let relay_state = &mut self.relays[relay as usize];
+        relay_state.stalled_until = relay_state.stalled_until.max(until);
+        let unread = relay_state.inbox.iter().filter_map(|event| match event {
             RelayEvent::Submitted { message, .. } => Some(*message),
             _ => None,
         });
--- a/crates/lab/src/day/outages.rs
+++ b/crates/lab/src/day/outages.rs
@@ -82,13 +82,13 @@
     /// Begins or ends the outage of a route after a change at one of its endpoints.
     pub(super) fn update_outage(&mut self, route_id: u32) {
         let now = self.now;
-        let all_out = self.all_endpoints_out(route_id);
+        let all_in_outage = self.all_endpoints_in_outage(route_id);
         let route = &mut self.routes[route_id as usize];
-        if all_out == route.in_outage || route.overloaded {
+        if all_in_outage == route.in_outage || route.overloaded {
             return;
         }
-        route.in_outage = all_out;
-        if all_out {
+        route.in_outage = all_in_outage;
+        if all_in_outage {
             route.slow_start_since = None;
             route.outage_since = now;
             self.record(Fact::OutageStarted { route: route_id });
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Returns whether the route has endpoints in service and all of them are out.
-    fn all_endpoints_out(&self, route_id: u32) -> bool {
+    /// Returns whether the route has endpoints in service and all of them are in outage.
+    fn all_endpoints_in_outage(&self, route_id: u32) -> bool {
         let endpoints = &self.routes[route_id as usize].endpoints;
         let servers = endpoints.iter().map(|endpoint| &self.servers[*endpoint as usize]);
         let mut in_service = servers.filter(|server| !server.removed).peekable();
-        in_service.peek().is_some() && in_service.all(|server| server.effects.is_out())
+        in_service.peek().is_some() && in_service.all(|server| server.effects.is_in_outage())
     }
 
     /// Takes a route down for the rest of the day, after it received more calls than it can handle in slow start.
--- a/crates/lab/src/day/relays.rs
+++ b/crates/lab/src/day/relays.rs
@@ -2,7 +2,7 @@
 
 use super::clients::ClientState;
 use super::events::Event;
-use super::trace::attempt_end_name;
+use super::trace::attempt_outcome_name;
 use super::{Day, DayObservation};
 use crate::Time;
 use crate::host::{Relay, RelayEffect};
@@ -13,10 +13,10 @@
 use mountshift_invariants::{Fact, FinalAnswer};
 use rayon::prelude::*;
 
-/// Delay after which the platform acknowledges a notification.
+/// Delay after which the recipient acknowledges a notification.
 const NOTIFICATION_DELAY: Time = 1_000;
 /// Smallest number of due relays whose steps run in parallel; below it threads cost more than they save.
-const PARALLEL_MIN: usize = 8;
+const MIN_PARALLEL_RELAYS: usize = 8;
 /// Smallest share of capacity with which a route in slow start is shown to the omniscient policy, so that a part of
 /// its workers always counts.
 const MIN_SLOW_START_SHARE: f64 = 0.05;
@@ -52,7 +52,7 @@
         }
         let now = self.now;
         let mut due: Vec<&mut Relay> = self.relays.iter_mut().filter(|relay| relay.is_due(now)).collect();
-        if due.len() >= PARALLEL_MIN {
+        if due.len() >= MIN_PARALLEL_RELAYS {
             due.par_iter_mut().for_each(|relay| relay.step(now, None));
         } else {
             for relay in &mut due {
@@ -94,7 +94,7 @@
             server = &self.servers[next as usize];
         }
         let route = &self.routes[server.setup.route as usize];
-        let serves = !server.removed && !server.effects.is_out() && !route.overloaded;
+        let serves = !server.removed && !server.effects.is_in_outage() && !route.overloaded;
         let share = route.capacity_share(self.now, &self.world).max(MIN_SLOW_START_SHARE);
         let workers = f64::from(server.workers) * share;
         let free = workers - f64::from(server.busy) - server.queue.len() as f64;
@@ -141,7 +141,7 @@
     fn record_from_relay(&mut self, fact: Fact) {
         match fact {
             Fact::AttemptEnded { outcome, .. } => {
-                *self.statistics.attempt_ends.entry(attempt_end_name(outcome)).or_default() += 1;
+                *self.statistics.attempt_ends.entry(attempt_outcome_name(outcome)).or_default() += 1;
             }
             Fact::AttemptStarted { .. } => {
                 self.attempts += 1;
@@ -158,8 +158,8 @@
             RelayEffect::StartCall { call, endpoint, messages, timeout } => {
                 self.start_call(relay, call, endpoint, messages, timeout);
             }
-            RelayEffect::AnswerClient { message, end } => self.answer_client(message, end),
-            RelayEffect::Notify { message, end } => self.send_notification(message, end),
+            RelayEffect::AnswerClient { message, answer } => self.answer_client(message, answer),
+            RelayEffect::Notify { message, answer } => self.send_notification(message, answer),
             RelayEffect::CloseCall { call } => self.close_call(call, Outcome::Cancelled),
             RelayEffect::CloseIdleConnections { endpoint } => self.close_idle_connections(relay, endpoint),
             RelayEffect::PollEndpoints => self.poll_discovery(relay),
@@ -174,10 +174,10 @@
         self.statistics.read_log_line(&self.world, relay, self.now, line);
     }
 
-    /// Sends a final answer to the platform, which forwards it to the client at once and acknowledges it later.
-    fn send_notification(&mut self, message: u64, end: FinalAnswer) {
+    /// Sends a final answer as a notification, which the recipient passes to the client at once and acknowledges later.
+    fn send_notification(&mut self, message: u64, answer: FinalAnswer) {
         self.schedule(self.now + NOTIFICATION_DELAY, Event::NotificationAcknowledged { message });
-        self.end_message(message, end);
+        self.end_message(message, answer);
     }
 
     /// Kills a relay's process without warning, at a drawn point of a step.
--- a/crates/lab/src/day/trace.rs
+++ b/crates/lab/src/day/trace.rs
@@ -26,7 +26,9 @@
         }
         Fact::CallReceived { call, endpoint, .. } => [2, call, u64::from(endpoint), 0],
         Fact::Executed { message, call, duplicate, .. } => [3, message, call, u64::from(duplicate)],
-        Fact::AttemptEnded { message, call, outcome, .. } => [4, message, call, attempt_end_word(outcome)],
+        Fact::AttemptEnded { message, call, outcome, .. } => {
+            [4, message, call, attempt_outcome_word(outcome)]
+        }
         Fact::FinalAnswerGiven { message, answer: FinalAnswer::Rejected { retry_after }, .. } => {
             [5, message, retry_after + 1, 0]
         }
@@ -37,14 +39,14 @@
 
 /// Returns the outcome of an attempt with its code in the highest byte and its Retry-After below. The codes are part
 /// of each trace's digest and stay fixed: a rejection is 0, every other outcome is its number plus 1.
-fn attempt_end_word(outcome: AttemptOutcome) -> u64 {
+fn attempt_outcome_word(outcome: AttemptOutcome) -> u64 {
     match outcome {
         AttemptOutcome::Rejected { retry_after } => retry_after,
-        other => (1 + attempt_end_number(other)) << 56,
+        other => (1 + attempt_outcome_number(other)) << 56,
     }
 }
 
-fn attempt_end_number(outcome: AttemptOutcome) -> u64 {
+fn attempt_outcome_number(outcome: AttemptOutcome) -> u64 {
     match outcome {
         AttemptOutcome::Delivered => 0,
         AttemptOutcome::Error => 1,
@@ -58,7 +60,7 @@
 }
 
 /// Returns the name of an attempt outcome in the results.
-pub(super) fn attempt_end_name(outcome: AttemptOutcome) -> &'static str {
+pub(super) fn attempt_outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Delivered => "delivered",
         AttemptOutcome::Error => "error",
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -104,7 +104,7 @@
     /// Mean number of attempts per message.
     #[serde(rename = "legs_per_message")]
     pub attempts_per_message: f64,
-    /// Mean number of calls per day that reached an endpoint while its route was out.
+    /// Mean number of calls per day that reached an endpoint while its route was in outage.
     pub calls_into_outages: f64,
     /// Mean number of routes per day that were overloaded during slow start.
     #[serde(rename = "fell_over")]
--- a/crates/lab/src/host/dispatcher.rs
+++ b/crates/lab/src/host/dispatcher.rs
@@ -77,9 +77,9 @@
 }
 
 impl Actions for DispatcherState {
-    fn send(&mut self, message: MessageId, endpoint: EndpointId, limit: Duration) {
+    fn send(&mut self, message: MessageId, endpoint: EndpointId, timeout: Duration) {
         let endpoint = endpoint_number(endpoint);
-        let attempt = QueuedAttempt { message: message.0, timeout: limit.as_micros() as u64 };
+        let attempt = QueuedAttempt { message: message.0, timeout: timeout.as_micros() as u64 };
         match self.queued.iter_mut().find(|queued| queued.endpoint == endpoint) {
             Some(queued) => queued.attempts.push(attempt),
             None => self.queued.push(QueuedAttempts { endpoint, attempts: vec![attempt] }),
@@ -157,18 +157,18 @@
 
     /// Gives a final answer other than a delivery: to the client if it still waits, else as a notification. Returns
     /// whether that closes the message at once.
-    fn end_undelivered(&mut self, message: u64, end: FinalAnswer) -> bool {
-        self.record(Fact::FinalAnswerGiven { message, relay: self.relay, answer: end });
+    fn end_undelivered(&mut self, message: u64, answer: FinalAnswer) -> bool {
+        self.record(Fact::FinalAnswerGiven { message, relay: self.relay, answer });
         if let Some(position) = self.unanswered.iter().position(|waiting| *waiting == message) {
             self.unanswered.remove(position);
-            self.effects.push(RelayEffect::AnswerClient { message, end: Some(end) });
+            self.effects.push(RelayEffect::AnswerClient { message, answer: Some(answer) });
             self.spool.remove(&message);
             return true;
         }
         if let Some(stored) = self.spool.get_mut(&message) {
-            stored.pending_end = Some(end);
+            stored.pending_answer = Some(answer);
         }
-        self.effects.push(RelayEffect::Notify { message, end });
+        self.effects.push(RelayEffect::Notify { message, answer });
         false
     }
 
@@ -210,13 +210,13 @@
         inputs: &mut Vec<Input>,
     ) {
         if self.spool.len() >= self.max_queued {
-            let end = FinalAnswer::Rejected { retry_after: 0 };
-            self.record(Fact::FinalAnswerGiven { message, relay: self.relay, answer: end });
-            self.effects.push(RelayEffect::AnswerClient { message, end: Some(end) });
+            let answer = FinalAnswer::Rejected { retry_after: 0 };
+            self.record(Fact::FinalAnswerGiven { message, relay: self.relay, answer });
+            self.effects.push(RelayEffect::AnswerClient { message, answer: Some(answer) });
             return;
         }
         let deadline = self.unix_clock.read(deadline);
-        let stored = StoredMessage { submission, deadline, attempts: Vec::new(), pending_end: None };
+        let stored = StoredMessage { submission, deadline, attempts: Vec::new(), pending_answer: None };
         self.spool.insert(message, stored);
         self.unanswered.push(message);
         inputs.push(Input::Submitted { message: MessageId(message), submission });
@@ -244,8 +244,8 @@
     }
 
     fn record_attempt_end(&mut self, call: u64, message: u64, outcome: Outcome, closed: bool) {
-        let end = attempt_outcome(outcome);
-        self.record(Fact::AttemptEnded { message, call, relay: self.relay, outcome: end });
+        let recorded_outcome = attempt_outcome(outcome);
+        self.record(Fact::AttemptEnded { message, call, relay: self.relay, outcome: recorded_outcome });
         if RunState::from_outcome(outcome) == RunState::NeverRan
             && let Some(stored) = self.spool.get_mut(&message)
             && let Some(attempt) = stored.attempts.last_mut()
@@ -286,7 +286,7 @@
     pub(super) fn flush(&mut self) {
         let batches = self.store_queued_attempts();
         for message in std::mem::take(&mut self.unanswered) {
-            self.effects.push(RelayEffect::AnswerClient { message, end: None });
+            self.effects.push(RelayEffect::AnswerClient { message, answer: None });
         }
         for batch in batches {
             self.start_call(batch);
--- a/crates/lab/src/host/messages.rs
+++ b/crates/lab/src/host/messages.rs
@@ -19,7 +19,7 @@
     EndpointListed { endpoint: u32, status: EndpointStatus },
     /// A poll of the endpoint list failed, or the watch on it was lost.
     PollFailed,
-    /// The recipient has acknowledged the notification of a message's end.
+    /// The recipient has acknowledged the notification of a message's final answer.
     NotificationAcknowledged { message: u64 },
 }
 
@@ -39,10 +39,10 @@
     Fact(Fact),
     /// Starts a call to an endpoint.
     StartCall { call: u64, endpoint: u32, messages: Vec<u64>, timeout: Time },
-    /// Answers a waiting client: the message is accepted if `end` is `None`, else its final answer.
-    AnswerClient { message: u64, end: Option<FinalAnswer> },
-    /// Sends the notification of an end whose client no longer waits.
-    Notify { message: u64, end: FinalAnswer },
+    /// Answers a waiting client: the message is accepted if `answer` is `None`, else its final answer.
+    AnswerClient { message: u64, answer: Option<FinalAnswer> },
+    /// Sends the final answer of an accepted message as a notification.
+    Notify { message: u64, answer: FinalAnswer },
     /// Closes the connection of a call that is in flight.
     CloseCall { call: u64 },
     /// Closes the idle connections to an endpoint.
--- a/crates/lab/src/host/mod.rs
+++ b/crates/lab/src/host/mod.rs
@@ -97,10 +97,10 @@
         let deadline = self.dispatcher.clock.at_unix(stored.deadline);
         let submission = Submission { deadline, restored: true, ..stored.submission };
         self.inputs.push(Input::Submitted { message: id, submission });
-        if let Some(end) = stored.pending_end {
+        if let Some(answer) = stored.pending_answer {
             let relay = self.dispatcher.relay;
-            self.dispatcher.record(Fact::FinalAnswerGiven { message, relay, answer: end });
-            self.dispatcher.effects.push(RelayEffect::Notify { message, end });
+            self.dispatcher.record(Fact::FinalAnswerGiven { message, relay, answer });
+            self.dispatcher.effects.push(RelayEffect::Notify { message, answer });
             self.inputs.push(Input::FinalAnswerPending(id));
         }
         for attempt in stored.attempts {
@@ -186,7 +186,7 @@
     }
 
     /// Returns the number of messages in the spool.
-    pub(crate) fn held_messages(&self) -> usize {
+    pub(crate) fn spooled_messages(&self) -> usize {
         self.dispatcher.spool.len()
     }
 
--- a/crates/lab/src/host/spool.rs
+++ b/crates/lab/src/host/spool.rs
@@ -4,7 +4,7 @@
 use mountshift::interface::{Submission, ZoneId};
 use mountshift_invariants::FinalAnswer;
 
-/// An accepted message that is not closed.
+/// A submitted message that is not closed. It is stored before its client receives the acceptance.
 #[derive(Clone, Debug)]
 pub(super) struct StoredMessage {
     /// The submission as the accepting process received it; its deadline is on that process's decision clock.
@@ -12,7 +12,7 @@
     pub deadline: UnixTime,
     pub attempts: Vec<StoredAttempt>,
     /// The final answer whose notification is not acknowledged yet.
-    pub pending_end: Option<FinalAnswer>,
+    pub pending_answer: Option<FinalAnswer>,
 }
 
 /// An attempt, stored before it is sent.
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -19,7 +19,7 @@
 const MIN_LOSS_KEPT: f64 = 0.8;
 /// Minimum duration to which a fault is shortened.
 const MIN_FAULT_DURATION: Duration = Duration::from_millis(500);
-/// Weight of a breach in the rank of a day, far above that of any loss.
+/// Weight of a breach in a search for breaches, far above that of any loss.
 const BREACH_WEIGHT: f64 = 1e3;
 /// Weight of the loss in a search for breaches: it only orders days with the same number of breaches.
 const LOSS_WEIGHT: f64 = 1e-3;
@@ -29,11 +29,11 @@
 pub enum SearchGoal {
     /// The day that loses the most service against the omniscient policy.
     Loss,
-    /// The day with the most breaches of any rules.
+    /// The day with the most breaches of rules.
     Rules,
 }
 
-/// Severity of a day. Breaches count for more than any loss.
+/// Severity of a day: its breaches and its lost service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DaySeverity {
     /// Number of breaches of all rules.
@@ -91,7 +91,7 @@
 /// Tries `budget` fault scripts on the scenario `base`, in parallel, and reduces the worst day. Calls
 /// `on_script_tried` after each script. Returns `None` if no script was tried, or if the goal is breaches and there
 /// were none.
-pub fn hunt(
+pub fn find_worst_day(
     base: &Scenario,
     goal: SearchGoal,
     budget: usize,
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -27,5 +27,5 @@
 
 pub use mountshift_invariants::Fact;
 
-/// Microseconds since the start of the simulated day.
+/// Time since the start of the simulated day, or a duration, in microseconds.
 pub type Time = u64;
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -14,7 +14,8 @@
     pub policy: String,
     /// Seed of all random values.
     pub seed: u64,
-    /// Worth delivered over worth submitted, 0 to 1.
+    /// Worth delivered over worth submitted, 0 to 1. The worth of a request is the priority weight of its message
+    /// class; late delivery reduces it.
     pub service: f64,
     /// Service of the requests that arrived in the worst ten seconds.
     pub worst_window: f64,
@@ -30,7 +31,7 @@
     /// Number of attempts to deliver messages.
     #[serde(rename = "legs")]
     pub attempts: u64,
-    /// Number of calls that reached an endpoint while its route was out.
+    /// Number of calls that reached an endpoint while its route was in outage.
     pub calls_into_outages: u64,
     /// Number of attempts by outcome.
     #[serde(rename = "ends")]
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -1,4 +1,4 @@
-//! Interface of the policy that decides at a simulated relay: the project's decisions or a baseline.
+//! Interface of the policy that decides at a modelled relay: the project's decisions or a baseline.
 
 use mountshift::interface::*;
 use mountshift::policy::DeliveryPolicy;
--- a/crates/lab/src/route.rs
+++ b/crates/lab/src/route.rs
@@ -27,7 +27,7 @@
     pub(crate) endpoints: Vec<u32>,
     /// Calls per second outside slow start.
     pub(crate) capacity: f64,
-    /// Whether it has endpoints in service and all of them are out.
+    /// Whether it has endpoints in service and all of them are in outage.
     pub(crate) in_outage: bool,
     pub(crate) outage_since: Time,
     /// End of the outage that started the current slow start.
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -8,7 +8,7 @@
 /// Error rate at which an endpoint counts as in outage.
 const OUTAGE_ERROR_RATE: f64 = 0.5;
 
-/// Heavy tail of processing times: some messages of a class take longer by a factor.
+/// Heavy tail of service times: some calls with messages of a class take longer by a factor.
 #[derive(Clone, Debug)]
 pub(crate) struct HeavyTail {
     pub(crate) class: u16,
@@ -76,10 +76,10 @@
             ScriptedFaultKind::Refuse | ScriptedFaultKind::Crash => self.refuses = true,
             ScriptedFaultKind::Hang => {
                 self.hung = true;
-                self.frozen_until = self.frozen_until.max(fault.ends);
+                self.frozen_until = self.frozen_until.max(fault.ends_at);
             }
-            ScriptedFaultKind::Pauses => self.frozen_until = self.frozen_until.max(fault.ends),
-            ScriptedFaultKind::Silent => self.silent_until = self.silent_until.max(fault.ends),
+            ScriptedFaultKind::Pauses => self.frozen_until = self.frozen_until.max(fault.ends_at),
+            ScriptedFaultKind::Silent => self.silent_until = self.silent_until.max(fault.ends_at),
             ScriptedFaultKind::Vanish => self.vanished = true,
             ScriptedFaultKind::Slow => self.slowdown *= fault.level,
             ScriptedFaultKind::HeavyTail => {
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Returns whether it is down, silent, hung, rejecting all calls or failing most of them.
-    pub(crate) fn is_out(&self) -> bool {
+    /// Returns whether it counts as in outage: down, silent, hung, rejecting all calls or failing most of them.
+    pub(crate) fn is_in_outage(&self) -> bool {
         self.refuses
             || self.vanished
             || self.silent_until > 0
--- a/crates/lab/src/statistics.rs
+++ b/crates/lab/src/statistics.rs
@@ -14,7 +14,7 @@
 /// Minimum share of the day's submitted worth for a window to count as the worst one.
 const MIN_WINDOW_SHARE: f64 = 0.02;
 /// Maximum number of routes whose load is recorded for a report.
-const MAX_ROUTES_SHOWN: usize = 24;
+const MAX_RECORDED_ROUTES: usize = 24;
 /// Maximum delivery time in the histogram, in microseconds; longer times are recorded as this one.
 const MAX_DELIVERY_TIME: u64 = 600_000_000;
 /// Precision of delivery times, in significant decimal digits.
@@ -64,10 +64,10 @@
         }
     }
 
-    fn record_request(&mut self, second: usize, value: f64) {
-        self.worth.submitted += value;
+    fn record_request(&mut self, second: usize, worth: f64) {
+        self.worth.submitted += worth;
         self.requests += 1;
-        self.timeline[second].submitted += value;
+        self.timeline[second].submitted += worth;
     }
 
     fn record_delivery(&mut self, second: usize, worth: f64, delivery_time: Time) {
@@ -131,7 +131,7 @@
     pub(crate) submissions: BySecond,
     pub(crate) queued: BySecond,
     pub(crate) calls_in_flight: BySecond,
-    /// Load of the routes that a report can show, by route number.
+    /// Load of the recorded routes, by route number.
     routes: BTreeMap<u32, RouteLoad>,
     breakers: Vec<BreakerStep>,
     /// Number of attempts by outcome.
@@ -154,7 +154,7 @@
             submissions: BySecond::default(),
             queued: BySecond::default(),
             calls_in_flight: BySecond::default(),
-            routes: shown_routes(world),
+            routes: recorded_routes(world),
             breakers: Vec::new(),
             attempt_ends: BTreeMap::new(),
             failed: 0,
@@ -163,8 +163,8 @@
             connections: 0,
         };
         for request in requests {
-            let value = scenario.classes[usize::from(request.class)].priority_weight.0;
-            statistics.update_parts(request, |part, second| part.record_request(second, value));
+            let worth = scenario.classes[usize::from(request.class)].priority_weight.0;
+            statistics.update_parts(request, |part, second| part.record_request(second, worth));
         }
         statistics
     }
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Records how many calls each shown route can process in this second.
+    /// Records how many calls each recorded route can process in this second.
     pub(crate) fn sample_capacities(&mut self, at: Time, capacity: impl Fn(u32) -> f64) {
         for (route, load) in &mut self.routes {
             load.capacity.add(at, capacity(*route));
@@ -204,7 +204,7 @@
     /// Records a breaker's state change if a log line of the decisions reports one.
     pub(crate) fn read_log_line(&mut self, world: &World, relay: u32, at: Time, line: &str) {
         if let Some((destination, state)) = parse_breaker_line(line) {
-            let destination = world.name(destination);
+            let destination = world.destination_name(destination);
             let at_s = at as f64 / 1e6;
             self.breakers.push(BreakerStep { relay, destination, at_s, state: state.to_string() });
         }
@@ -276,11 +276,11 @@
     }
 }
 
-/// Returns the routes of the endpoints that are targets of faults, up to [`MAX_ROUTES_SHOWN`].
-fn shown_routes(world: &World) -> BTreeMap<u32, RouteLoad> {
+/// Returns the routes of the endpoints that are targets of faults, up to [`MAX_RECORDED_ROUTES`].
+fn recorded_routes(world: &World) -> BTreeMap<u32, RouteLoad> {
     let mut routes = BTreeMap::new();
     for endpoint in world.faults.iter().flat_map(|fault| &fault.endpoints) {
-        if routes.len() >= MAX_ROUTES_SHOWN {
+        if routes.len() >= MAX_RECORDED_ROUTES {
             break;
         }
         routes.entry(world.endpoints[*endpoint as usize].route).or_default();
@@ -319,7 +319,7 @@
 /// Returns the name of the destination that a route belongs to.
 fn route_name(world: &World, route: u32) -> String {
     let endpoint = world.endpoints.iter().find(|endpoint| endpoint.route == route);
-    endpoint.map_or(String::new(), |endpoint| world.name(endpoint.destination))
+    endpoint.map_or(String::new(), |endpoint| world.destination_name(endpoint.destination))
 }
 
 fn fault_span(fault: &mountshift_scenario::ScriptedFault) -> FaultSpan {
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -11,7 +11,7 @@
 
 /// Minimum ratio of an approximate listed rate to the true rate; the maximum is 1.5.
 const MIN_APPROXIMATE_RATE_FACTOR: f64 = 0.5;
-/// Listed rate of endpoints whose true rate is not published.
+/// Listed rate of endpoints whose true rate is not published, in calls per second.
 const UNKNOWN_RATE: f64 = 1.0;
 /// Maximum number of attempts that a relay's settings can express.
 const MAX_ATTEMPTS: u32 = 255;
@@ -35,8 +35,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ResolvedFault {
     pub(crate) kind: ScriptedFaultKind,
-    pub(crate) begins: Time,
-    pub(crate) ends: Time,
+    pub(crate) starts_at: Time,
+    pub(crate) ends_at: Time,
     pub(crate) level: f64,
     /// Message class that it affects, for kinds of faults that affect one.
     pub(crate) class: u16,
@@ -46,7 +46,7 @@
 
 impl ResolvedFault {
     pub(crate) fn is_active(&self, now: Time) -> bool {
-        self.begins <= now && now < self.ends
+        self.starts_at <= now && now < self.ends_at
     }
 }
 
@@ -123,7 +123,7 @@
     }
 
     /// Returns the name of a destination in the notation of scenario files.
-    pub(crate) fn name(&self, destination: u32) -> String {
+    pub(crate) fn destination_name(&self, destination: u32) -> String {
         let group = self.destinations[destination as usize].group;
         let number = destination - self.first_destination[group];
         format!("{}/{}", self.scenario.groups[group].name.as_ref(), number)
@@ -194,10 +194,10 @@
             self.faults.push(whole);
             return;
         };
-        let starts = (whole.begins..whole.ends).step_by(every.us().max(1) as usize);
-        for (index, begins) in starts.enumerate() {
-            let ends = (begins + lasts.us()).min(whole.ends);
-            let mut part = ResolvedFault { begins, ends, ..whole.clone() };
+        let starts = (whole.starts_at..whole.ends_at).step_by(every.us().max(1) as usize);
+        for (index, starts_at) in starts.enumerate() {
+            let ends_at = (starts_at + lasts.us()).min(whole.ends_at);
+            let mut part = ResolvedFault { starts_at, ends_at, ..whole.clone() };
             if script.kind == ScriptedFaultKind::Waves {
                 // Each occurrence affects the next relay.
                 let Some(relay) = whole.relays.get(index).copied() else { break };
@@ -227,8 +227,8 @@
             script.class.as_ref().and_then(|name| classes.iter().position(|class| class.name == *name));
         ResolvedFault {
             kind: script.kind,
-            begins: script.from.us(),
-            ends: script.to.us(),
+            starts_at: script.from.us(),
+            ends_at: script.to.us(),
             level: script.level.map_or(0.0, |level| level.0),
             class: class.unwrap_or(0) as u16,
             endpoints: targets.endpoints,
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -2,7 +2,7 @@
 
 use mountshift_lab::day::{Day, DayObservation, DayOptions};
 use mountshift_lab::experiment::{Estimate, compare, run, summarise, with_value};
-use mountshift_lab::hunt::{SearchGoal, hunt};
+use mountshift_lab::hunt::{SearchGoal, find_worst_day};
 use mountshift_lab::outcome::{BreachOutcome, DayOutcome};
 use mountshift_lab::policy_kind::PolicyKind;
 use mountshift_lab::report;
@@ -114,13 +114,13 @@
         ]
     );
     assert_eq!(field_names(&written["breaches"][0]), ["at_s", "rule", "story", "why"]);
-    let course = &written["course"];
+    let timeline = &written["course"];
     assert_eq!(
-        field_names(course),
+        field_names(timeline),
         ["breakers", "held", "lanes", "legs", "messages", "out", "routes", "tenants", "troubles"]
     );
-    assert_eq!(field_names(&course["routes"][0]), ["capacity", "name", "reached"]);
-    assert_eq!(field_names(&course["troubles"][0]), ["from_s", "kind", "to_s", "whom"]);
+    assert_eq!(field_names(&timeline["routes"][0]), ["capacity", "name", "reached"]);
+    assert_eq!(field_names(&timeline["troubles"][0]), ["from_s", "kind", "to_s", "whom"]);
     let summary = toml::Value::try_from(&summarise(&[day])[0]).expect("a summary");
     assert_eq!(
         field_names(&summary),
@@ -219,9 +219,9 @@
 }
 
 #[test]
-fn hunt_returns_a_reduced_day_that_is_reproducible() {
+fn worst_day_is_reduced_and_reproducible() {
     let s = scenario("calm");
-    let found = hunt(&s, SearchGoal::Loss, 12, 1, &|| {}).expect("a bad day");
+    let found = find_worst_day(&s, SearchGoal::Loss, 12, 1, &|| {}).expect("a bad day");
     assert!(found.severity.loss() > 0.01 && found.fault_counts.1 <= found.fault_counts.0);
     let text = found.scenario.to_text().expect("a text");
     let again = Scenario::from_text(&text, "found").expect("a scenario");
--- a/crates/lab/tests/fault_injection.rs
+++ b/crates/lab/tests/fault_injection.rs
@@ -62,14 +62,14 @@
 }
 
 impl Actions for FaultyActions<'_> {
-    fn send(&mut self, message: MessageId, endpoint: EndpointId, limit: Duration) {
-        self.actions.send(message, endpoint, limit);
+    fn send(&mut self, message: MessageId, endpoint: EndpointId, timeout: Duration) {
+        self.actions.send(message, endpoint, timeout);
         self.last_endpoint = Some(endpoint);
         if self.fault == Fault::ParallelAttempts {
             // Endpoints of a destination have neighbouring numbers.
             let other = if endpoint.0 % 2 == 1 { endpoint.0 + 1 } else { endpoint.0 - 1 };
             if self.endpoints.contains(&EndpointId(other)) {
-                self.actions.send(message, EndpointId(other), limit);
+                self.actions.send(message, EndpointId(other), timeout);
             }
         }
     }
