--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -3,7 +3,7 @@
 use crate::Verdict;
 use crate::error::CliError;
 use clap::Args;
-use mountshift_soak::{FaultKind, Programs, Schedule, SoakReport, play, shrink};
+use mountshift_soak::{FaultKind, Programs, Schedule, SoakReport, run_schedule, shrink};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -77,10 +77,10 @@
     let programs = programs(&arguments)?;
     let mut verdict = Verdict::Passed;
     println!(
-        "seed  faults         exits  syscall errs  submitted  accepted  delivered  stalled ms  breaches"
+        "seed  faults         exits  syscall errs  submitted  accepted  delivered  delayed ms  breaches"
     );
     for schedule in schedules {
-        let report = play(&schedule, &programs, arguments.out.as_deref()).map_err(CliError::soak)?;
+        let report = run_schedule(&schedule, &programs, arguments.out.as_deref()).map_err(CliError::soak)?;
         print_row(&report);
         if !report.has_no_breaches() {
             verdict = Verdict::Failed;
@@ -137,7 +137,7 @@
         report.submitted,
         report.accepted,
         report.delivered,
-        report.longest_stall.as_millis(),
+        report.longest_stand_in_delay.as_millis(),
         report.breaches.len()
     );
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -46,11 +46,11 @@
     pub(crate) recorder: Arc<Recorder>,
     pub(crate) relays: Vec<Arc<RelayProcess>>,
     pub(crate) is_over: AtomicBool,
-    /// Number of messages by relay.
+    /// Number of messages submitted so far, by relay.
     message_counts: Vec<AtomicU64>,
     /// By relay, whether another client copies message ids there.
     ids_copied: Vec<AtomicBool>,
-    /// By relay, the time until which idle connections may exhaust its descriptors, so that others are closed.
+    /// By relay, the time until which idle connections may exhaust its descriptors, so that it closes other connections.
     descriptors_exhausted_until: Vec<AtomicU64>,
 }
 
--- a/crates/soak/src/copies.rs
+++ b/crates/soak/src/copies.rs
@@ -12,12 +12,12 @@
 pub(crate) const COPY_BODY: &str = "copy";
 /// Ordering key of a different message under a copied id; no other client uses it.
 const COPY_KEY: u64 = 99;
-/// Average number of copies per copy that is identical to the original message.
+/// Number of copies of which, on average, one is identical to the original message.
 const COPIES_PER_IDENTICAL_COPY: u32 = 4;
-/// Time by which every second copy is sent before the original message; the others race with it.
+/// Time by which half of the copies are sent before the original message; the others race with it.
 const HEAD_START: Duration = Duration::from_millis(15);
 
-/// Submits a copy just before its original message. Every second copying client resets its connection shortly after.
+/// Submits a copy just before its original message. Half of the copies' connections are reset shortly after.
 pub(crate) async fn send_copy(
     clients: &Clients,
     relay: usize,
--- a/crates/soak/src/early_end.rs
+++ b/crates/soak/src/early_end.rs
@@ -1,5 +1,5 @@
 //! Finds messages that failed early although nothing prevented sending them: no attempt reached an endpoint, the
-//! endpoints of their destination had no faults all the time, and no process of the relay ended. Failures of local
+//! endpoints of their destination never had a fault meanwhile, and no process of the relay ended or stalled. Failures of local
 //! system calls must not use up the attempts of a message.
 
 use crate::installation::Installation;
@@ -8,7 +8,7 @@
 use mountshift_invariants::{Fact, FinalAnswer, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Share of the time from submission to deadline. A message fails early if more than this share remains.
+/// Share of the time from submission to deadline; a message fails early if more than this share remains.
 const EARLY_REMAINING_SHARE: f64 = 0.3;
 /// Time, in microseconds, after which the effects of an endpoint's fault (breaker, slow start) are over.
 const FAULT_AFTEREFFECT: Time = 10_000_000;
@@ -50,7 +50,7 @@
         observation: &Observation,
     ) -> Option<SoakBreach> {
         match observation {
-            Observation::EndpointFault { endpoint, is_over } => {
+            Observation::EndpointFaultChanged { endpoint, is_over } => {
                 self.record_endpoint_fault(installation, at, *endpoint, *is_over);
             }
             Observation::Fact(Fact::Submitted { message, destination, deadline, .. }) => {
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Returns whether the messages are executed although the response does not report a delivery: in every second
-    /// call.
+    /// Returns whether the messages are executed although the response does not report a delivery: if one of the
+    /// attempts has an even number, so in every second call with a single message.
     fn executes_without_delivery_response(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.number.is_multiple_of(2))
     }
@@ -285,7 +285,8 @@
     loop {
         let mut first_bytes = [0; BYTES_BEFORE_RESET];
         let has_begun = matches!(stream.peek(&mut first_bytes).await, Ok(read) if read > 0);
-        // Requests whose first bytes have an odd sum are read completely and reset before the response.
+        // If the sum of the first bytes is odd, the request is read completely and the connection is reset before the
+        // response.
         let is_reset_mid_request = first_bytes.iter().map(|byte| u64::from(*byte)).sum::<u64>() % 2 == 0;
         if has_begun && is_reset_mid_request && endpoints.behaviour(endpoint) == Behaviour::Reset {
             reset(stream);
@@ -366,7 +367,7 @@
     call.record_end(end);
 }
 
-/// Responds to a batch with a different result for each message, by the number of its attempt.
+/// Responds to a batch. The number of its attempt selects whether a message is delivered, failed or refused.
 async fn respond_partly_failed(stream: &mut TcpStream, call: &Call, endpoints: &Endpoints) -> bool {
     let mut lines = String::new();
     for attempt in call.attempts.iter().copied() {
--- a/crates/soak/src/injection.rs
+++ b/crates/soak/src/injection.rs
@@ -26,9 +26,9 @@
 const CLOCK_READ_DELAY_RATE: u64 = 2;
 /// Number of signals in a series.
 const SIGNALS_IN_SERIES: usize = 4;
-/// Number of calls per 1,000 that fail for a shortage of resources.
+/// Number of system calls per 1,000 that fail for a shortage of resources, or with an intermittent disk fault.
 const SHORTAGE_RATE: u64 = 500;
-/// Number of calls per 1,000 that are interrupted or fail for a passing cause.
+/// Number of system calls per 1,000 that are interrupted or fail with a transient error.
 const INTERRUPTION_RATE: u64 = 200;
 
 /// Parts of the run that faults affect.
@@ -231,17 +231,17 @@
         let fails_with =
             |errno, fail_rate| SystemCallFault { errno, fail_rate, ..SystemCallFault::default() };
         let wait_control_error = libc::ENOMEM;
-        let passing_errors = [libc::EINTR, libc::ENOBUFS, libc::ENOMEM];
-        let passing_error = passing_errors[fault.amount as usize % passing_errors.len()];
+        let transient_errors = [libc::EINTR, libc::ENOBUFS, libc::ENOMEM];
+        let transient_error = transient_errors[fault.amount as usize % transient_errors.len()];
         let send_fault = SystemCallFault {
             partial_write_rate: INTERRUPTION_RATE,
-            ..fails_with(passing_error, INTERRUPTION_RATE)
+            ..fails_with(transient_error, INTERRUPTION_RATE)
         };
         let call_faults = [
             (SystemCall::Accept, fails_with(shortage, SHORTAGE_RATE)),
             (SystemCall::Socket, fails_with(shortage, SHORTAGE_RATE)),
             (SystemCall::Connect, fails_with(connect_error, SHORTAGE_RATE)),
-            (SystemCall::Receive, fails_with(passing_error, INTERRUPTION_RATE)),
+            (SystemCall::Receive, fails_with(transient_error, INTERRUPTION_RATE)),
             (SystemCall::Wait, fails_with(libc::EINTR, INTERRUPTION_RATE)),
             (SystemCall::WaitControl, fails_with(wait_control_error, INTERRUPTION_RATE)),
             (SystemCall::Send, send_fault),
@@ -276,7 +276,7 @@
     }
 
     fn record_endpoint_fault(&self, endpoint: usize, is_over: bool) {
-        self.recorder.record(Observation::EndpointFault { endpoint, is_over });
+        self.recorder.record(Observation::EndpointFaultChanged { endpoint, is_over });
     }
 
     fn set_discovery_silent(&self, fault: &ScheduledFault, is_silent: bool) {
--- a/crates/soak/src/installation.rs
+++ b/crates/soak/src/installation.rs
@@ -12,7 +12,7 @@
 const RANDOM_STREAM: u64 = 1;
 /// Zones of the installation.
 const ZONES: [&str; 2] = ["north", "south"];
-/// Range of the maximum number of descriptors of a relay. Idle clients can exhaust a small number.
+/// Range of the maximum number of descriptors of a relay, small enough for idle clients to exhaust them.
 const RELAY_DESCRIPTORS: (u64, u64) = (64, 256);
 /// Maximum number of messages in a call in installations with batches.
 const BATCH_MESSAGES: u64 = 4;
@@ -23,14 +23,14 @@
 const DRAIN_GRACE_MS: u64 = 1_000;
 /// Range of the hold-off of an ordering key, in milliseconds. The longer ones outlast a restart.
 const ORDER_HOLD_OFF_MS: (u64, u64) = (200, 1_200);
-/// Maximum delay of a final answer after its deadline: 300 ms by the rule, 50 ms for sockets, and 400 ms for a busy
+/// Maximum delay of a final answer after the message's deadline: 300 ms by the rule, 50 ms for sockets, and 400 ms for a busy
 /// machine.
 const ANSWER_SLACK_MS: u64 = 350 + 400;
 /// Maximum delay of a final answer after a restart: 1.5 s from readiness, and 500 ms for a busy machine.
 const RESTART_SLACK_MS: u64 = 1_500 + 500;
-/// Tolerance of the hold-off that the protocol allows for sockets.
+/// Tolerance of the hold-off, in milliseconds, that the protocol allows for delays of sockets.
 const ORDER_SLACK_MS: u64 = 50;
-/// Maximum delay of a relay between its decision and the send.
+/// Maximum delay of a relay between its decision to send and the send, in milliseconds.
 const SEND_DELAY_SLACK_MS: u64 = 250;
 
 /// A message class of the run.
--- a/crates/soak/src/malformed_response.rs
+++ b/crates/soak/src/malformed_response.rs
@@ -10,15 +10,15 @@
 
 /// Pause between two bytes of a response that is sent byte by byte.
 const BYTE_PAUSE: Duration = Duration::from_millis(100);
-/// Size of a response larger than any relay reads.
+/// Size of a response, in bytes, that is larger than any relay reads.
 const TOO_LARGE_BYTES: usize = 400_000;
 /// Response with an error and a body.
 const ERROR: &[u8] = b"HTTP/1.1 500 Status\r\nContent-Length: 9\r\n\r\nsome text";
 /// Response that reports a delivery, already by its status code.
 const DELIVERY: &[u8] = b"HTTP/1.1 200 Status\r\nContent-Length: 9\r\n\r\nsome text";
-/// Length of a response up to the space after the status code.
+/// Length of [`DELIVERY`] up to the space after the status code.
 const DELIVERY_STATUS_BYTES: usize = 13;
-/// Number of malformed responses per truncated delivery.
+/// Number of calls with a single message of which one gets [`DELIVERY`] truncated; the others get [`ERROR`].
 const RESPONSES_PER_DELIVERY: u64 = 3;
 
 /// Defect of a response.
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -12,9 +12,9 @@
 /// connection has to reach the endpoint's task first.
 const MAX_END_OBSERVATION_DELAY: Time = 300_000;
 
-/// Maximum distance, in microseconds, between the record of a stand-in delay and the observations that it delayed.
+/// Maximum time, in microseconds, between the record of a stand-in delay and a delayed observation.
 const DELAY_RECORD_DISTANCE: Time = 20_000;
-/// Maximum time, in microseconds, between the end of a process as its clients observe it and the record of that end.
+/// Maximum time, in microseconds, between the moment when clients observe the end of a process and the record of it.
 const PROCESS_END_RECORD_DISTANCE: Time = 200_000;
 /// Maximum time, in microseconds, until endpoints have read what a process wrote before its end. The process starts
 /// again much later.
@@ -60,7 +60,7 @@
             | Observation::IdenticalCopySubmitted { .. }
             | Observation::Fault(_)
             | Observation::NotAccepted { .. }
-            | Observation::EndpointFault { .. } => {}
+            | Observation::EndpointFaultChanged { .. } => {}
         }
     }
     breaches.extend(sent_though_not_accepted(observations));
@@ -90,7 +90,7 @@
     })
 }
 
-/// Returns breaches for messages that were sent after their client was told that they were not accepted.
+/// Returns breaches for messages that were sent after their client had received a rejection or an error.
 fn sent_though_not_accepted(observations: &[(Time, Observation)]) -> Vec<SoakBreach> {
     let mut not_accepted = BTreeSet::new();
     let mut breaches = Vec::new();
@@ -300,10 +300,10 @@
             Observation::ProcessEvent { relay, description } => format!("relay {relay} {description}"),
             Observation::Fault(fault) => format!("fault: {fault}"),
             Observation::NotAccepted { message } => format!("message {message} is not accepted"),
-            Observation::EndpointFault { endpoint, is_over: false } => {
+            Observation::EndpointFaultChanged { endpoint, is_over: false } => {
                 format!("fault of endpoint {endpoint} begins")
             }
-            Observation::EndpointFault { endpoint, is_over: true } => {
+            Observation::EndpointFaultChanged { endpoint, is_over: true } => {
                 format!("fault of endpoint {endpoint} is over")
             }
         };
--- a/crates/soak/src/platform.rs
+++ b/crates/soak/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in for discovery and for the receiver of notifications. Each relay uses an agent (a server) of its own.
+//! Stand-in for discovery and for the receiver of notifications. It runs a separate server, the agent, for each relay.
 
 use crate::endpoint::Endpoints;
 use crate::http::{Request, RequestReader, response};
--- a/crates/soak/src/recorder.rs
+++ b/crates/soak/src/recorder.rs
@@ -20,9 +20,9 @@
     Unanswered { relay: usize, id: String },
     /// A submission was answered with a rejection or an error, so the message must not be sent.
     NotAccepted { message: u64 },
-    /// A fault of an endpoint begins (it fails, rejects, hangs or leaves) or is over.
-    EndpointFault { endpoint: usize, is_over: bool },
-    /// A relay's process ended, was not ready, or used too many resources.
+    /// A fault of an endpoint began (it fails, rejects, hangs or is drained) or is over.
+    EndpointFaultChanged { endpoint: usize, is_over: bool },
+    /// A relay's process ended unexpectedly, was not ready in time, used too many resources, or logged a defect.
     ProcessEvent { relay: usize, description: String },
     /// A fault began or ended; only for the timeline.
     Fault(String),
--- a/crates/soak/src/relay_process.rs
+++ b/crates/soak/src/relay_process.rs
@@ -90,7 +90,7 @@
     /// processes.
     inherited_listener: Option<TcpListener>,
     child: Mutex<Option<Child>>,
-    /// Index of the agent's address in the configuration.
+    /// Index of the agent's address that the configuration names.
     agent_address_index: AtomicUsize,
     /// Time until which a missing answer is attributed to the end or start of the process.
     missing_answers_tolerated_until: AtomicU64,
@@ -413,7 +413,7 @@
         let known_endpoints = self.platform.initial_list();
         let config = self.installation.config(self.number, self.listen, discovery, &known_endpoints);
         if let Err(e) = std::fs::write(self.dir.join("config.json"), config.to_string()) {
-            self.record_process_event(format!("configuration could not be written: {e}"));
+            self.record_process_event(format!("could not be configured: {e}"));
         }
     }
 
@@ -461,7 +461,7 @@
     }
 }
 
-/// Kills the process, so that none outlives the run.
+/// Kills the process, so that it does not outlive the run.
 impl Drop for RelayProcess {
     fn drop(&mut self) {
         if let Some(child) = self.child.get_mut() {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,5 +1,5 @@
-//! Runs a schedule: starts everything, runs the traffic and the faults, waits until every message is due, stops
-//! everything and checks the observations.
+//! Runs a schedule: starts everything, runs the traffic and the faults, waits until every deadline has
+//! passed, stops everything and checks the observations.
 
 use crate::SoakError;
 use crate::client::Clients;
@@ -23,7 +23,7 @@
 
 /// Interval between two checks whether processes have ended.
 const WATCH_INTERVAL: Duration = Duration::from_millis(20);
-/// Interval at which the stand-ins' own delay is measured, and threshold from which it is recorded.
+/// Interval at which the stand-ins' own delay is measured. Longer delays are recorded.
 const DELAY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// Time to wait after the last deadline, because final answers may come a little later.
 const FINAL_ANSWER_GRACE: Duration = Duration::from_millis(2_500);
@@ -49,13 +49,13 @@
     pub accepted: usize,
     /// Number of messages that endpoints answered as delivered.
     pub delivered: usize,
-    /// Number of ends of relay processes.
+    /// Number of times that a relay's process ended.
     pub process_exits: usize,
     /// Number of system call faults that the shim injected.
     pub injected_faults: u64,
     /// Longest delay of the stand-ins' own tasks. On a busy machine they observe timely events of the relays late,
     /// which can cause false breaches.
-    pub longest_stall: Duration,
+    pub longest_stand_in_delay: Duration,
 }
 
 impl SoakReport {
@@ -70,7 +70,11 @@
 ///
 /// # Errors
 /// If a program does not exist, or a file, folder or socket can't be used.
-pub fn play(schedule: &Schedule, programs: &Programs, out: Option<&Path>) -> Result<SoakReport, SoakError> {
+pub fn run_schedule(
+    schedule: &Schedule,
+    programs: &Programs,
+    out: Option<&Path>,
+) -> Result<SoakReport, SoakError> {
     programs.check()?;
     let dir = tempfile::tempdir().map_err(SoakError::io("temporary folder of the run"))?;
     let relays: Mutex<Vec<Arc<RelayProcess>>> = Mutex::default();
@@ -81,7 +85,7 @@
         };
         run_in_folder(schedule, programs, dir.path(), out, &relays).or(interrupted).await
     });
-    // Needed if the run ended early.
+    // A run that ended early has not stopped its processes.
     for relay in lock(&relays).iter() {
         relay.kill_all();
     }
@@ -215,7 +219,7 @@
         _ => None,
     });
     SoakReport {
-        longest_stall: Duration::from_micros(delays.max().unwrap_or(0)),
+        longest_stand_in_delay: Duration::from_micros(delays.max().unwrap_or(0)),
         submitted: count(|fact| matches!(fact, Fact::Submitted { .. })),
         accepted: count(|fact| matches!(fact, Fact::Accepted { .. })),
         delivered: count(|fact| matches!(fact, Fact::DeliveryAnswered { .. })),
@@ -256,14 +260,14 @@
 /// Removes faults one after another as long as the schedule still causes a breach, and returns the reduced schedule.
 ///
 /// # Errors
-/// Same as for [`play`].
+/// Same as for [`run_schedule`].
 pub fn shrink(schedule: &Schedule, programs: &Programs) -> Result<Schedule, SoakError> {
     let mut smallest = schedule.clone();
     let mut index = 0;
     while index < smallest.faults.len() {
         let mut candidate = smallest.clone();
         candidate.faults.remove(index);
-        if play(&candidate, programs, None)?.has_no_breaches() {
+        if run_schedule(&candidate, programs, None)?.has_no_breaches() {
             index += 1;
         } else {
             smallest = candidate;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -22,16 +22,16 @@
 /// Probability that a group without an endpoint fault gets one. Without it few messages are outstanding when a relay
 /// fault begins.
 const ENDPOINT_FAULT_PROBABILITY: f64 = 0.5;
-/// Probability that a run draws from a few kinds of faults only. A given combination of two or three kinds is rare
-/// among all kinds.
+/// Probability that a run draws from a few kinds of faults only. Among all kinds, a given combination of two or three
+/// would be rare.
 const FEW_KINDS_PROBABILITY: f64 = 0.7;
 /// Range of the number of kinds in such a run.
 const FEW_KINDS_COUNT: (usize, usize) = (2, 5);
 /// Minimum duration of a drawn fault in milliseconds.
 const MIN_FAULT_MS: u64 = 300;
-/// Average number of disk faults at a start per long one.
+/// Number of [`FaultKind::DiskAtStart`] faults of which, on average, one is long.
 const FAULTS_PER_LONG_DISK_AT_START: i64 = 3;
-/// Range of the duration of a long disk fault at a start, in milliseconds. A relay starts 0.6 s after the fault begins
+/// Range of the duration of a long [`FaultKind::DiskAtStart`] fault, in milliseconds. A relay starts 0.6 s after the fault begins
 /// and has to be ready 10 s later.
 const LONG_DISK_AT_START_MS: (u64, u64) = (7_000, 8_500);
 /// Time without faults at the beginning and at the end of a run, in milliseconds.
@@ -54,12 +54,12 @@
     ReloadAndStop,
     /// The wall clock of relays is stepped.
     Clock,
-    /// Writes to the state folder fail or write only a part. At times truncation fails too, so that they can't be
+    /// Writes to the state folder fail or are partial. At times truncation fails too, so that a partial write can't be
     /// undone.
     Disk,
-    /// A write to the state folder writes only a part, and the process is killed.
+    /// The process is killed after a partial write to the state folder.
     TornKill,
-    /// Writes to the state folder fail while relays are killed and started again.
+    /// System calls on the state folder, and `bind`, fail while relays are killed and started again.
     DiskAtStart,
     /// System calls on sockets fail for a shortage of resources, or are interrupted.
     Sockets,
@@ -81,7 +81,7 @@
     HalfAnswer,
     /// Endpoints close idle connections.
     CloseIdle,
-    /// An endpoint is drained and removed, and listed again later.
+    /// Endpoints are drained and removed, and listed again later.
     Drain,
     /// The discovery service does not respond.
     Discovery,
@@ -143,7 +143,7 @@
         matches!(self, FaultKind::Upgrade | FaultKind::UpgradeDisk)
     }
 
-    /// Returns true if the fault affects relays, and false if it affects endpoints.
+    /// Returns whether the fault affects relays. All others affect endpoints.
     pub(crate) fn targets_relays(self) -> bool {
         !matches!(
             self,
@@ -197,8 +197,8 @@
 }
 
 impl ScheduledFault {
-    /// Returns whether the fault is a disk fault at a start that outlasts the relay's wait for files that it can start
-    /// without.
+    /// Returns whether this is a [`FaultKind::DiskAtStart`] fault that lasts longer than a starting relay waits for
+    /// files that it can do without.
     pub(crate) fn is_long_disk_at_start(&self) -> bool {
         self.kind == FaultKind::DiskAtStart && self.for_ms >= LONG_DISK_AT_START_MS.0
     }
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -1,7 +1,7 @@
 //! Short soaks of real relays, and tests of schedules. CI runs the fixed schedule in this folder; longer soaks are run
 //! by hand (`mountshift soak`).
 
-use mountshift_soak::{FaultKind, MAX_RELAYS, Programs, Schedule, play};
+use mountshift_soak::{FaultKind, MAX_RELAYS, Programs, Schedule, run_schedule};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -26,7 +26,7 @@
 #[test]
 fn every_invariant_holds_under_the_fixed_schedule() {
     let schedule = Schedule::read(&fixed_schedule()).expect("a schedule");
-    let report = play(&schedule, &programs(), None).expect("a report");
+    let report = run_schedule(&schedule, &programs(), None).expect("a report");
     assert!(report.has_no_breaches(), "{}\n{:#?}", report.timeline, report.breaches);
     assert!(report.delivered > 500 && report.process_exits >= 6 && report.injected_faults > 0, "{report:?}");
 }
@@ -48,7 +48,7 @@
     let schedule = Schedule::draw(SEED_OF_OTHER_KINDS, 20, 4, &kinds).expect("a schedule");
     let is_drawn = |kind| schedule.faults.iter().any(|fault| fault.kind == kind);
     assert!(kinds.into_iter().all(is_drawn), "{}", schedule.to_json());
-    let report = play(&schedule, &programs(), None).expect("a report");
+    let report = run_schedule(&schedule, &programs(), None).expect("a report");
     assert!(report.has_no_breaches(), "{}\n{:#?}", report.timeline, report.breaches);
     assert!(report.delivered > 500 && report.process_exits > 0, "{report:?}");
 }
@@ -84,6 +84,6 @@
     assert_rejected(1, 20);
     let missing = Programs { relay: "/nowhere/relay".into(), shim: None };
     let schedule = Schedule::draw(1, 60, 2, &[]).expect("a schedule");
-    let error = play(&schedule, &missing, None).expect_err("a missing program");
+    let error = run_schedule(&schedule, &missing, None).expect_err("a missing program");
     assert_eq!(error.to_string(), "/nowhere/relay: file not found; build the program or name another one");
 }
