--- a/crates/cli/src/lab/mod.rs
+++ b/crates/cli/src/lab/mod.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Policy by its name.
+/// Policy, given by its name.
 #[derive(Clone, Copy)]
 struct PolicyArgument(PolicyKind);
 
@@ -109,7 +109,7 @@
     day.policy == PolicyKind::Mountshift.name()
 }
 
-/// Fails if mountshift's own policy broke a rule; baselines may break rules.
+/// Returns `Failed` if mountshift's own policy broke a rule. Baselines may break rules.
 fn verdict(days: &[DayOutcome]) -> Verdict {
     if days.iter().filter(|day| is_mountshift_day(day)).all(DayOutcome::has_no_breaches) {
         Verdict::Passed
--- a/crates/cli/src/lab/sweep.rs
+++ b/crates/cli/src/lab/sweep.rs
@@ -58,7 +58,7 @@
     Ok(verdict(&days))
 }
 
-/// Returns the scenario with each value; empty if a constant is swept.
+/// Returns a scenario for each value, with the value; an empty list if a constant is swept.
 fn changed_scenarios(arguments: &SweepArguments) -> Result<Vec<(String, Scenario)>, CliError> {
     let file = arguments.scenario.display().to_string();
     let text = std::fs::read_to_string(&arguments.scenario).map_err(CliError::file(&arguments.scenario))?;
@@ -90,7 +90,7 @@
 
 fn print_sides(arguments: &SweepArguments, sides: &[Side]) -> Result<(), CliError> {
     let swept = arguments.value.as_ref().or(arguments.constant.as_ref()).map_or("", String::as_str);
-    println!("{swept:>16}  {:26} {:>8}  rules  compared to the first", "service [95%]", "worst 10");
+    println!("{swept:>16}  {:26} {:>10}  rules  compared to the first", "service [95%]", "worst 10 s");
     for (position, (value, days)) in sides.iter().enumerate() {
         let Some(summary) = experiment::summarise(days).into_iter().next() else { continue };
         let broken = days.iter().filter(|day| !day.has_no_breaches()).count();
@@ -102,7 +102,7 @@
         };
         let service = summary.service.to_string();
         let worst_window = summary.worst_window.mean;
-        println!("{value:>16}  {service:26} {worst_window:>8.3}  {rules}  {comparison}");
+        println!("{value:>16}  {service:26} {worst_window:>10.3}  {rules}  {comparison}");
     }
     Ok(())
 }
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -25,12 +25,12 @@
     length: Span,
     #[arg(long, default_value_t = 32)]
     connections: usize,
-    /// Name of the lane
+    /// Name of the message class
     #[arg(long)]
     lane: String,
     #[arg(long, value_delimiter = ',', required = true)]
     destinations: Vec<u32>,
-    /// Number of keys in use, for lanes that keep order
+    /// Number of ordering keys in use, for message classes that keep order
     #[arg(long, default_value_t = 0)]
     keys: u64,
     /// Size of a message in bytes
@@ -70,8 +70,8 @@
     Plan {
         relay: arguments.to,
         schedule: Schedule {
-            from: arguments.rate,
-            to: arguments.ramp_to.unwrap_or(arguments.rate),
+            start_rate: arguments.rate,
+            end_rate: arguments.ramp_to.unwrap_or(arguments.rate),
             length: arguments.length.0,
         },
         connections: arguments.connections,
@@ -95,7 +95,7 @@
     Ok(if is_complete(&report) { Verdict::Passed } else { Verdict::Failed })
 }
 
-/// Returns whether every message was answered.
+/// Returns whether the relay accepted or rejected every message. One that failed or got no answer counts as lost.
 fn is_complete(report: &Report) -> bool {
     report.accepted + report.rejected == report.due
 }
--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -57,7 +57,7 @@
     words.map_or(0, |words| words[index].load(Ordering::Relaxed))
 }
 
-/// Returns the nanoseconds by which the wall clock is ahead.
+/// Returns the nanoseconds by which the wall clock is ahead of the machine's.
 pub(crate) fn wall_clock_offset() -> i64 {
     word(ControlWord::WallClockOffset as usize) as i64
 }
@@ -111,7 +111,7 @@
     fault
 }
 
-/// Returns true for `rate` of 1,000 calls, chosen at random.
+/// Returns true for `rate` of 1,000 calls, chosen pseudo-randomly.
 fn should_inject(rate: u64) -> bool {
     rate > 0 && (rate >= FULL_RATE || next_random() % FULL_RATE < rate)
 }
--- a/crates/fault-shim/src/hooks.rs
+++ b/crates/fault-shim/src/hooks.rs
@@ -350,7 +350,7 @@
     original!(epoll_ctl as Function, descriptor, operation, socket, event)
 }
 
-/// Delays a write to a socket if the control file says so.
+/// Delays a write to a socket if the control file requests a delay.
 fn delay_socket_write() {
     sleep_ms(socket_write_delay_ms());
 }
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -23,14 +23,14 @@
 pub const WORDS_PER_SYSTEM_CALL: usize = 5;
 /// Index of the first word of the first system call.
 pub const FIRST_SYSTEM_CALL_WORD: usize = 8;
-/// Rate at which every call is affected; rates are calls per 1,000.
+/// Rate at which every call is affected. Rates are numbers of affected calls per 1,000.
 pub const FULL_RATE: u64 = 1000;
 
 /// Indexes of the words that are not specific to a system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum ControlWord {
-    /// Signed number of nanoseconds by which the wall clock is ahead.
+    /// Nanoseconds by which the wall clock is ahead of the machine's, negative if it is behind.
     WallClockOffset = 0,
     /// Delay of a write to a socket, in milliseconds.
     SocketWriteDelayMs = 1,
--- a/crates/faults/src/system_call.rs
+++ b/crates/faults/src/system_call.rs
@@ -62,7 +62,7 @@
         SystemCall::WaitControl,
     ];
 
-    /// Returns the name used in schedules and on the command line.
+    /// Returns the name that `Display` writes and `FromStr` reads.
     pub fn name(self) -> &'static str {
         match self {
             SystemCall::FileWrite => "file-write",
--- a/crates/invariants/src/rules/final_answer.rs
+++ b/crates/invariants/src/rules/final_answer.rs
@@ -7,7 +7,7 @@
 use crate::verdict::{Finding, Rule};
 use crate::{FinalAnswer, Time};
 
-/// Time before the deadline, in microseconds; a final answer earlier than this is not due to the deadline.
+/// Time before the deadline, in microseconds. The reason of an earlier final answer is not the deadline.
 const EARLY_ANSWER_MARGIN: Time = 100_000;
 
 /// Checks that an attempt does not follow a final answer.
--- a/crates/invariants/src/rules/single_effect.rs
+++ b/crates/invariants/src/rules/single_effect.rs
@@ -1,5 +1,5 @@
 //! Rule 2: no message takes effect twice where that does harm, no two of its attempts are in flight at once, and
-//! neither an attempt nor a rejection (on which the client submits it again) risks a harmful second effect.
+//! neither an attempt nor a rejection (after which the client submits it again) risks a harmful second effect.
 
 use crate::checker::InvariantChecker;
 use crate::fact::seconds;
--- a/crates/invariants/src/rules/slow_start.rs
+++ b/crates/invariants/src/rules/slow_start.rs
@@ -7,7 +7,7 @@
 use crate::{AttemptOutcome, Fact, RuleParameters};
 
 /// Minimum share of an overload that must come from relays that saw the outage for the rule to be broken. Other
-/// relays can't know of the slow start.
+/// relays have no sign of the slow start.
 const MIN_WITNESS_SHARE: f64 = 2.0 / 3.0;
 
 /// Returns the amount by which the load on a route in slow start may exceed its budget by chance. The number of
@@ -25,7 +25,7 @@
 }
 
 impl InvariantChecker {
-    /// Records that a relay observed a failure if the call met an outage of its route.
+    /// Records that a relay observed a failure, if the call was sent before the end of an outage of its route.
     pub(crate) fn record_outage_witness(
         &mut self,
         relay: u32,
@@ -34,7 +34,7 @@
         outcome: AttemptOutcome,
         fact: Fact,
     ) {
-        // Attempts that the relay itself ended say nothing about the route.
+        // An attempt that the relay ended itself is no sign of an outage.
         if matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::NotSent | AttemptOutcome::Cancelled)
         {
             return;
@@ -43,7 +43,7 @@
         let sent_at = self.call_starts.get(&call).copied().unwrap_or(now);
         let Some(route) = self.endpoints.get(&endpoint).map(|endpoint| endpoint.route) else { return };
         if let Some(route) = self.routes.get_mut(&route)
-            && route.was_out(sent_at)
+            && route.was_in_outage(sent_at)
         {
             route.add_witness(relay, now, fact);
         }
--- a/crates/invariants/src/state/route.rs
+++ b/crates/invariants/src/state/route.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns whether a call sent at the given time encountered the outage.
-    pub(crate) fn was_out(&self, sent_at: Time) -> bool {
+    pub(crate) fn was_in_outage(&self, sent_at: Time) -> bool {
         self.in_outage || self.slow_start_since.is_some_and(|since| sent_at < since)
     }
 
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -22,7 +22,7 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Maximum length of an answer. The protocol has no longer lines, and reading on would fill memory.
+/// Maximum length of an answer in bytes. The protocol has no longer lines, and reading on would fill memory.
 const MAX_ANSWER_BYTES: usize = 4_096;
 /// Pause after a failed connection attempt, so that the tool does not reconnect in a busy loop while a relay is down.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
@@ -248,7 +248,7 @@
     if !plan.relay.ip().is_loopback() {
         return Err(LoadError::NotLoopback { address: plan.relay });
     }
-    let rates = [plan.schedule.from, plan.schedule.to];
+    let rates = [plan.schedule.start_rate, plan.schedule.end_rate];
     if rates.iter().any(|rate| !rate.is_finite() || *rate <= 0.0) || plan.schedule.length.is_zero() {
         return Err(LoadError::NoLoad);
     }
@@ -393,7 +393,7 @@
         Ok(trial.sustained)
     };
     let mut best = None;
-    let mut too_high = plan.schedule.from;
+    let mut too_high = plan.schedule.start_rate;
     while is_sustained(too_high)? {
         best = Some(too_high);
         too_high *= RATE_STEP;
--- a/crates/load/tests/load.rs
+++ b/crates/load/tests/load.rs
@@ -128,7 +128,7 @@
         "192.0.2.1:6390 is not a loopback address; the load tool connects only to loopback addresses"
     );
     assert_eq!(
-        error_of(&|plan| plan.schedule.from = 0.0),
+        error_of(&|plan| plan.schedule.start_rate = 0.0),
         "the rates and the length of the schedule must be above 0"
     );
     assert_eq!(
--- a/crates/load/tests/schedule.rs
+++ b/crates/load/tests/schedule.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn due_times_follow_the_rate_of_a_ramp() {
-    let ramp = Schedule { from: 10.0, to: 30.0, length: Duration::from_secs(10) };
+    let ramp = Schedule { start_rate: 10.0, end_rate: 30.0, length: Duration::from_secs(10) };
     assert_eq!(ramp.count(), 200);
     let due_before = |s: f64| (0..200).filter(|n| ramp.due(*n).as_secs_f64() < s).count();
     // 10 * t + t * t messages are due by time t.
--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -7,7 +7,8 @@
 };
 use std::path::Path;
 
-/// Maximum number of zones. Zone numbers fit a byte, with values left for reserved ids.
+/// Maximum number of zones. Zone numbers fit into a byte; the remaining values are left for ids that stand for
+/// no zone.
 const MAX_ZONES: usize = 200;
 
 /// Names with a special meaning among the targets of a fault.
--- a/crates/scenario/src/fault.rs
+++ b/crates/scenario/src/fault.rs
@@ -17,7 +17,8 @@
     /// for all relays, or a relay `relay/2`.
     #[serde(rename = "who")]
     pub targets: Vec<String>,
-    /// Share of the targets that is affected, drawn for the day by destination, or by endpoint with `per_endpoint`.
+    /// Share of the targets that is affected, drawn once for the day: from the destinations, or with `per_endpoint` from
+    /// the endpoints.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<Share>,
     /// Whether `share` is drawn for each endpoint separately.
@@ -53,7 +54,7 @@
             /// All kinds, in the order of the documentation.
             pub const ALL: &[ScriptedFaultKind] = &[$(ScriptedFaultKind::$name,)*];
 
-            /// Returns what the fault affects, and its description.
+            /// Returns the kind of target that the fault affects, and the description of the fault.
             pub fn target_kind_and_description(self) -> (TargetKind, &'static str) {
                 match self {
                     $(ScriptedFaultKind::$name => (TargetKind::$target, $description),)*
@@ -88,7 +89,7 @@
     pub cut_from: bool,
 }
 
-/// What a kind of fault affects.
+/// Kind of target that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetKind {
     /// Endpoints.
@@ -162,7 +163,7 @@
         })
     }
 
-    /// Returns what the target consists of.
+    /// Returns whether the target consists of endpoints or of relays.
     pub fn kind(&self) -> TargetKind {
         match self {
             FaultTarget::Relays | FaultTarget::Relay(_) => TargetKind::Relays,
--- a/crates/soak/src/malformed_response.rs
+++ b/crates/soak/src/malformed_response.rs
@@ -18,7 +18,7 @@
 const DELIVERY: &[u8] = b"HTTP/1.1 200 Status\r\nContent-Length: 9\r\n\r\nsome text";
 /// Length of [`DELIVERY`] up to the space after the status code.
 const DELIVERY_STATUS_BYTES: usize = 13;
-/// Number of calls with a single message of which one gets [`DELIVERY`] truncated; the others get [`ERROR`].
+/// Calls with a single message whose number is a multiple of this get [`DELIVERY`] truncated instead of [`ERROR`].
 const RESPONSES_PER_DELIVERY: u64 = 3;
 
 /// Defect of a response.
