--- a/crates/invariants/src/fact.rs
+++ b/crates/invariants/src/fact.rs
@@ -157,7 +157,7 @@
     RelayDown { relay: u32 },
     /// The relay's process started and has read its spool.
     RelayUp { relay: u32 },
-    /// The relay gets no processor time until then, so it can't answer.
+    /// The relay gets no processor time until `until`, so it can't answer.
     RelayStalled { relay: u32, until: Time },
 }
 
@@ -182,8 +182,8 @@
         match *self {
             Fact::Submitted { message, request, relay, class, destination, key, deadline } => write!(
                 f,
-                "message {message} (request {request}, lane {class}, key {key:x}) for {destination} is submitted to \
-                 relay {relay}, deadline {:.3} s",
+                "message {message} (request {request}, lane {class}, key {key:x}) for destination {destination} is \
+                 submitted to relay {relay}, deadline {:.3} s",
                 seconds(deadline)
             ),
             Fact::Accepted { message } => write!(f, "message {message} is accepted"),
--- a/crates/invariants/src/rules/final_answer.rs
+++ b/crates/invariants/src/rules/final_answer.rs
@@ -7,7 +7,7 @@
 use crate::verdict::{Finding, Rule};
 use crate::{FinalAnswer, Time};
 
-/// Time before the deadline, in microseconds. The reason of an earlier final answer is not the deadline.
+/// Time before the deadline, in microseconds. An earlier final answer has another reason than the deadline.
 const EARLY_ANSWER_MARGIN: Time = 100_000;
 
 /// Checks that an attempt does not follow a final answer.
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 
-/// Slope below which a rate counts as constant, because the formula for ramps divides by the slope.
+/// Slope below which a rate counts as constant, in messages per second squared. The formula for ramps divides by the
+/// slope.
 const FLAT_SLOPE: f64 = 1e-9;
 
 /// A message rate that changes linearly over a time span.
--- a/crates/scenario/src/fault.rs
+++ b/crates/scenario/src/fault.rs
@@ -17,8 +17,8 @@
     /// for all relays, or a relay `relay/2`.
     #[serde(rename = "who")]
     pub targets: Vec<String>,
-    /// Share of the targets that is affected, drawn once for the day: from the destinations, or with `per_endpoint` from
-    /// the endpoints.
+    /// Share of the targets that is affected, drawn once for the day: from the destinations, or with `per_endpoint`
+    /// from the endpoints.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<Share>,
     /// Whether `share` is drawn for each endpoint separately.
--- a/crates/soak/src/bad_clients.rs
+++ b/crates/soak/src/bad_clients.rs
@@ -1,5 +1,5 @@
-//! Misbehaving clients: they shut their sending side, stop in the middle of a request, send many requests at once and
-//! leave, or exhaust the relay's descriptors.
+//! Misbehaving clients: they shut down their sending side, stop in the middle of a request, send many requests at once
+//! and disconnect, or exhaust the relay's descriptors.
 
 use crate::client::{ANSWER_TIMEOUT, Answer, Clients, read_line, request};
 use mountshift_invariants::Time;
@@ -16,9 +16,9 @@
 
 /// Time within which the relay must disconnect a client that stops in the middle of a request.
 const INCOMPLETE_REQUEST_LIMIT: Duration = Duration::from_millis(3_000 + 500);
-/// Number of commands that a bad client sends at once.
+/// Number of commands that a misbehaving client sends at once.
 const BURST_COMMANDS: usize = 60;
-/// Number of idle connections that a bad client opens.
+/// Number of idle connections that a misbehaving client opens.
 const IDLE_CONNECTIONS: usize = 40;
 /// Number of connections that exhaust a relay's descriptors; more than a relay may have.
 const EXHAUSTING_CONNECTIONS: usize = 300;
@@ -77,7 +77,7 @@
     idle
 }
 
-/// Submits a message and shuts the sending side shortly after it. The relay must still answer.
+/// Submits a message and shuts down the sending side shortly after it. The relay must still answer.
 async fn shut_sending_side(clients: &Clients, relay: usize, random: &mut ChaCha8Rng) {
     let submission = clients.draw_submission(relay, 0, random);
     let Ok(mut stream) = TcpStream::connect(clients.relays[relay].listen).await else {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -50,7 +50,7 @@
     message_counts: Vec<AtomicU64>,
     /// By relay, whether another client copies message ids there.
     ids_copied: Vec<AtomicBool>,
-    /// By relay, the time until which idle connections may exhaust its descriptors, so that it closes other connections.
+    /// By relay, the time until which idle connections may exhaust its descriptors, so that it closes others.
     descriptors_exhausted_until: Vec<AtomicU64>,
 }
 
--- a/crates/soak/src/early_end.rs
+++ b/crates/soak/src/early_end.rs
@@ -1,6 +1,6 @@
 //! Finds messages that failed early although nothing prevented sending them: no attempt reached an endpoint, the
-//! endpoints of their destination never had a fault meanwhile, and no process of the relay ended or stalled. Failures of local
-//! system calls must not use up the attempts of a message.
+//! endpoints of their destination never had a fault meanwhile, and no process of the relay ended or stalled.
+//! Failures of local system calls must not use up the attempts of a message.
 
 use crate::installation::Installation;
 use crate::oracle::SoakBreach;
--- a/crates/soak/src/injection.rs
+++ b/crates/soak/src/injection.rs
@@ -107,7 +107,7 @@
         let upgrade = upgrade_end(fault);
         let kind = fault.kind;
         let series = signal_series(fault.amount as u64);
-        self.on_each_relay(fault, move |relay| async move {
+        self.for_each_relay(fault, move |relay| async move {
             match kind {
                 FaultKind::Signals => relay.signal_and_restart(series).await,
                 FaultKind::Kill => relay.kill_and_restart().await,
@@ -151,7 +151,7 @@
             }
         }
         let end = upgrade_end(fault);
-        let upgrades = self.on_each_relay(fault, move |relay| async move { relay.upgrade(end).await });
+        let upgrades = self.for_each_relay(fault, move |relay| async move { relay.upgrade(end).await });
         let clear = async {
             Timer::after(span).await;
             clear_disk_faults(&relays, fault);
@@ -182,7 +182,7 @@
         fault.targets.iter().map(|number| self.relays[*number].clone()).collect()
     }
 
-    async fn on_each_relay<F>(&self, fault: &ScheduledFault, act: impl Fn(Arc<RelayProcess>) -> F)
+    async fn for_each_relay<F>(&self, fault: &ScheduledFault, act: impl Fn(Arc<RelayProcess>) -> F)
     where
         F: Future<Output = ()> + Send + 'static,
     {
@@ -204,7 +204,7 @@
             }
         }
         if fault.kind == FaultKind::DiskAtStart {
-            let restarts = self.on_each_relay(fault, |relay| async move { relay.kill_and_restart().await });
+            let restarts = self.for_each_relay(fault, |relay| async move { relay.kill_and_restart().await });
             let clear = async {
                 Timer::after(RESTART_DELAY + span).await;
                 clear_disk_faults(&relays, fault);
--- a/crates/soak/src/installation.rs
+++ b/crates/soak/src/installation.rs
@@ -23,7 +23,7 @@
 const DRAIN_GRACE_MS: u64 = 1_000;
 /// Range of the hold-off of an ordering key, in milliseconds. The longer ones outlast a restart.
 const ORDER_HOLD_OFF_MS: (u64, u64) = (200, 1_200);
-/// Maximum delay of a final answer after the message's deadline: 300 ms by the rule, 50 ms for sockets, and 400 ms for a busy
+/// Maximum delay of a final answer after the deadline: 300 ms by the rule, 50 ms for sockets, and 400 ms for a busy
 /// machine.
 const ANSWER_SLACK_MS: u64 = 350 + 400;
 /// Maximum delay of a final answer after a restart: 1.5 s from readiness, and 500 ms for a busy machine.
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -4,9 +4,10 @@
 //! - [`Schedule`] contains the faults and their times. It is drawn from a seed alone and can be saved, reduced and run
 //!   again.
 //! - `installation` draws the settings, destinations and limits of a run; `relay_process` runs the relays.
-//! - `endpoint`, `platform`, `client`, `bad_clients` and `copies` are the stand-ins. They record what they observe on the
-//!   wire in the `recorder`.
-//! - `wire_end` derives the outcome of a call from these observations; `malformed_response` sends malformed responses.
+//! - `endpoint`, `platform`, `client`, `bad_clients` and `copies` are the stand-ins. They record what they observe on
+//!   the wire in the `recorder`.
+//! - `wire_end` derives the outcome of a call from these observations, as the protocol defines it;
+//!   `malformed_response` sends malformed responses.
 //! - `injection` begins and ends the faults of a schedule; `oracle` and `early_end` find breaches in the record.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/soak/src/malformed_response.rs
+++ b/crates/soak/src/malformed_response.rs
@@ -28,7 +28,7 @@
     TruncatedAndClosed(usize),
     /// Only this number of bytes, then a reset.
     TruncatedAndReset(usize),
-    /// Only this number of bytes, then the sending side is shut.
+    /// Only this number of bytes, then the sending side is shut down.
     TruncatedAndHalfClosed(usize),
     /// Only this number of bytes; the connection stays open.
     TruncatedAndSilent(usize),
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,5 +1,5 @@
-//! Runs a schedule: starts everything, runs the traffic and the faults, waits until every deadline has
-//! passed, stops everything and checks the observations.
+//! Runs a schedule: starts everything, runs the traffic and the faults, waits until every deadline has passed, stops
+//! everything and checks the observations.
 
 use crate::SoakError;
 use crate::client::Clients;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -31,8 +31,8 @@
 const MIN_FAULT_MS: u64 = 300;
 /// Number of [`FaultKind::DiskAtStart`] faults of which, on average, one is long.
 const FAULTS_PER_LONG_DISK_AT_START: i64 = 3;
-/// Range of the duration of a long [`FaultKind::DiskAtStart`] fault, in milliseconds. A relay starts 0.6 s after the fault begins
-/// and has to be ready 10 s later.
+/// Range of the duration of a long [`FaultKind::DiskAtStart`] fault, in milliseconds. A relay starts 0.6 s after the
+/// fault begins and has to be ready 10 s later.
 const LONG_DISK_AT_START_MS: (u64, u64) = (7_000, 8_500);
 /// Time without faults at the beginning and at the end of a run, in milliseconds.
 const FAULT_FREE_MS: u64 = 2_000;
@@ -85,7 +85,8 @@
     Drain,
     /// The discovery service does not respond.
     Discovery,
-    /// Clients shut their sending side, stop in the middle of a request, or send many requests at once and leave.
+    /// Clients shut down their sending side, stop in the middle of a request, or send many requests at once and
+    /// disconnect.
     BadClients,
     /// A client submits messages under the ids of other clients' messages.
     CopiedIds,
