--- a/crates/cli/src/lab/compare.rs
+++ b/crates/cli/src/lab/compare.rs
@@ -63,7 +63,7 @@
     println!("B           {}", comparison.b);
     println!("B minus A   {}   worst 10 s {}", comparison.difference, comparison.worst_window);
     for (class, difference) in &comparison.classes {
-        println!("  class {class:17} {difference}");
+        println!("  lane {class:18} {difference}");
     }
     let (broken_a, broken_b) = comparison.days_with_breaches;
     println!("days with a broken rule: A {broken_a}, B {broken_b}, of {}", comparison.difference.n);
--- a/crates/cli/src/lab/run.rs
+++ b/crates/cli/src/lab/run.rs
@@ -69,8 +69,8 @@
 fn print_days(scenario: &Scenario, days: &[DayOutcome], elapsed: Duration) {
     println!("{}: {}", scenario.name, scenario.description);
     println!(
-        "  {:14} {:26} {:>10} {:>9} {:>8} {:>9} {:>9}  rules",
-        "policy", "service [95%]", "worst 10 s", "relative", "attempts", "in outage", "overloads"
+        "  {:14} {:26} {:>10} {:>9} {:>6} {:>9} {:>7}  rules",
+        "policy", "service [95%]", "worst 10 s", "relative", "legs", "in outage", "pushed"
     );
     for summary in experiment::summarise(days) {
         println!("  {}", summary_row(&summary));
@@ -85,7 +85,7 @@
 
 fn summary_row(summary: &Summary) -> String {
     format!(
-        "{:14} {:26} {:>10.3} {:>9} {:>8.2} {:>9.0} {:>9.1}  {}",
+        "{:14} {:26} {:>10.3} {:>9} {:>6.2} {:>9.0} {:>7.1}  {}",
         summary.policy,
         summary.service.to_string(),
         summary.worst_window.mean,
