--- a/crates/soak/src/recorder.rs
+++ b/crates/soak/src/recorder.rs
@@ -69,7 +69,7 @@
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Returns the number of a message in facts: its relay and its count there.
+/// Returns the number of a message in facts, made of its relay and its position among the messages of that relay.
 pub(crate) fn message_number(relay: usize, count: u64) -> u64 {
     ((relay as u64) << 32) | count
 }
