--- a/crates/fault-shim/src/original.rs
+++ b/crates/fault-shim/src/original.rs
@@ -41,7 +41,7 @@
         );
         // SAFETY: the given type is that of the function in the C library.
         let function = unsafe { std::mem::transmute::<*mut libc::c_void, $kind>(ORIGINAL.address()) };
-        // SAFETY: the caller's arguments are passed on unchanged.
+        // SAFETY: the caller's arguments are passed on unchanged, except that a partial write has a smaller length.
         unsafe { function($($argument),*) }
     }};
 }
--- a/crates/invariants/src/fact.rs
+++ b/crates/invariants/src/fact.rs
@@ -127,7 +127,7 @@
     },
     /// The client received the relay's acceptance of the message.
     Accepted { message: u64 },
-    /// The client gave up waiting for the acceptance; no fact about this message number counts.
+    /// The client stopped waiting for the acceptance; the checker ignores later facts about this message.
     Withdrawn { message: u64 },
     /// An attempt of a message started, in a call that may carry several messages.
     AttemptStarted { message: u64, call: u64, relay: u32, endpoint: u32 },
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -25,7 +25,7 @@
 /// Probability that a run draws from a few kinds of faults only. Among all kinds, a given combination of two or three
 /// would be rare.
 const FEW_KINDS_PROBABILITY: f64 = 0.7;
-/// Range of the number of kinds in such a run.
+/// Range of the number of kinds in a run that draws from a few kinds only.
 const FEW_KINDS_COUNT: (usize, usize) = (2, 5);
 /// Minimum duration of a drawn fault in milliseconds.
 const MIN_FAULT_MS: u64 = 300;
