--- a/crates/invariants/src/fact.rs
+++ b/crates/invariants/src/fact.rs
@@ -1,7 +1,7 @@
 //! The trace that the checker reads: the facts of a day that can be observed from outside the delivery policy.
 //!
-//! `Display` writes the sentences that reports print. The names of outcomes and statuses in them are part of the
-//! report format, and some differ from the names in this code.
+//! `Display` writes the sentences that reports print. Their wording is part of the report format; the names of
+//! outcomes and statuses in them differ from the names in this code.
 
 use std::fmt;
 
@@ -127,7 +127,7 @@
     },
     /// The client received the relay's acceptance of the message.
     Accepted { message: u64 },
-    /// The client stopped waiting for the acceptance; the checker ignores later facts about this message.
+    /// The client gave up waiting for the acceptance; no fact about this message number counts.
     Withdrawn { message: u64 },
     /// An attempt of a message started, in a call that may carry several messages.
     AttemptStarted { message: u64, call: u64, relay: u32, endpoint: u32 },
@@ -157,7 +157,7 @@
     RelayDown { relay: u32 },
     /// The relay's process started and has read its spool.
     RelayUp { relay: u32 },
-    /// The relay gets no processor time until `until`, so it can't answer.
+    /// The relay gets no processor time until then, so it can't answer.
     RelayStalled { relay: u32, until: Time },
 }
 
@@ -182,34 +182,32 @@
         match *self {
             Fact::Submitted { message, request, relay, class, destination, key, deadline } => write!(
                 f,
-                "message {message} (request {request}, lane {class}, key {key:x}) for destination {destination} is \
-                 submitted to relay {relay}, deadline {:.3} s",
+                "message {message} (request {request}, lane {class}, key {key:x}) for {destination} handed in at \
+                 relay {relay}, deadline {:.3} s",
                 seconds(deadline)
             ),
-            Fact::Accepted { message } => write!(f, "message {message} is accepted"),
-            Fact::Withdrawn { message } => write!(f, "message {message} is withdrawn by its client"),
+            Fact::Accepted { message } => write!(f, "message {message} is taken"),
+            Fact::Withdrawn { message } => write!(f, "message {message} is disowned by its client"),
             Fact::AttemptStarted { message, call, relay, endpoint } => {
                 write!(
                     f,
-                    "message {message} is sent from relay {relay} to endpoint {endpoint} in call {call}"
+                    "message {message} goes out from relay {relay} to endpoint {endpoint} in call {call}"
                 )
             }
             Fact::Executed { message, call, endpoint, duplicate } => {
-                let effect = if duplicate { "is dropped as a duplicate" } else { "takes effect" };
+                let effect = if duplicate { "is dropped as a repeat" } else { "takes effect" };
                 write!(f, "message {message} {effect} at endpoint {endpoint}, call {call}")
             }
             Fact::DeliveryAnswered { message, call } => {
                 write!(f, "message {message} is answered as delivered, call {call}")
             }
             Fact::AttemptEnded { message, call, relay, outcome } => {
-                write!(f, "relay {relay} observes that message {message} in call {call} ended as {outcome}")
+                write!(f, "relay {relay} learns that message {message} in call {call} ended as {outcome}")
             }
             Fact::FinalAnswerGiven { message, relay, answer } => {
-                write!(f, "relay {relay} gives the final answer for message {message}: {answer}")
-            }
-            Fact::FinalAnswerReceived { message } => {
-                write!(f, "the final answer for message {message} is received")
+                write!(f, "relay {relay} ends message {message}: {answer}")
             }
+            Fact::FinalAnswerReceived { message } => write!(f, "the end of message {message} is taken"),
             _ => Ok(()),
         }
     }
@@ -227,20 +225,18 @@
             }
             Fact::RetryAfterReceived { relay, endpoint, retry_after } => {
                 let wait = seconds(retry_after);
-                write!(f, "relay {relay} receives a Retry-After of {wait:.3} s from endpoint {endpoint}")
+                write!(f, "relay {relay} is told by endpoint {endpoint} to wait {wait:.3} s")
             }
             Fact::EndpointListed { relay, endpoint, status } => {
-                write!(f, "relay {relay} receives the status of endpoint {endpoint}: {status}")
-            }
-            Fact::OutageStarted { route } => write!(f, "an outage of route {route} starts"),
-            Fact::OutageEnded { route } => {
-                write!(f, "the outage of route {route} ends and slow start begins")
+                write!(f, "relay {relay} is told that endpoint {endpoint} is {status}")
             }
-            Fact::RouteOverloaded { route } => write!(f, "route {route} fails from overload in slow start"),
+            Fact::OutageStarted { route } => write!(f, "route {route} is out"),
+            Fact::OutageEnded { route } => write!(f, "route {route} is back, cold"),
+            Fact::RouteOverloaded { route } => write!(f, "route {route} is pushed over"),
             Fact::RelayDown { relay } => write!(f, "relay {relay} is down"),
             Fact::RelayUp { relay } => write!(f, "relay {relay} is up"),
             Fact::RelayStalled { relay, until } => {
-                write!(f, "relay {relay} is stalled until {:.3} s", seconds(until))
+                write!(f, "relay {relay} stands still until {:.3} s", seconds(until))
             }
             _ => self.fmt_message_fact(f),
         }
