--- a/crates/lab/src/baselines/state.rs
+++ b/crates/lab/src/baselines/state.rs
@@ -22,7 +22,8 @@
     in_flight: bool,
     /// Time and zone of the first attempt that may have run.
     first_possible_run: Option<(Duration, ZoneId)>,
-    /// Whether the final answer is given while its acknowledgement is pending or an attempt is in flight.
+    /// Whether the final answer is given or not needed; the message is kept until the answer is acknowledged or
+    /// the attempt in flight ends.
     has_final_answer: bool,
 }
 
@@ -155,7 +156,7 @@
             Input::AttemptEnded { message, outcome, run, closed, endpoint, .. } => {
                 self.on_attempt_ended(message, EndedAttempt { endpoint, outcome, run, closed });
             }
-            Input::RetryAfter { endpoint, span } => self.on_retry_after(endpoint, span),
+            Input::RetryAfter { endpoint, duration } => self.on_retry_after(endpoint, duration),
             Input::FullListBegins => self.on_full_list(),
             Input::EndpointListed(listed) => self.on_endpoint_listed(listed),
             Input::Closed(message) => self.on_closed(message),
@@ -214,12 +215,12 @@
         }
     }
 
-    fn on_retry_after(&mut self, endpoint: EndpointId, span: Duration) {
+    fn on_retry_after(&mut self, endpoint: EndpointId, duration: Duration) {
         let Some(route) = self.endpoints.get(&endpoint).map(|listed| self.route(endpoint, listed)) else {
             return;
         };
         let until = self.retry_after_until.entry(route).or_default();
-        *until = (*until).max(self.now + span);
+        *until = (*until).max(self.now + duration);
     }
 
     /// Marks all endpoints as not ready; the entries of the list that follow mark the listed ones again.
@@ -333,11 +334,12 @@
     /// Returns the endpoints that the message may be sent to now.
     pub(super) fn permitted_endpoints(
         &self,
-        message: MessageId,
+        id: MessageId,
         destination: DestinationId,
     ) -> impl Iterator<Item = EndpointId> + '_ {
-        let held = self.messages.get(&message);
-        let required_zone = held.and_then(|held| held.required_zone(self.class_of(held).idempotency));
+        let message = self.messages.get(&id);
+        let required_zone =
+            message.and_then(|message| message.required_zone(self.class_of(message).idempotency));
         let listed = self.endpoints_of.get(&destination).into_iter().flatten().copied();
         listed.filter(move |endpoint| self.is_permitted(*endpoint, required_zone))
     }
--- a/crates/relay/src/dispatch/actions.rs
+++ b/crates/relay/src/dispatch/actions.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 impl Actions for DispatcherState {
-    fn send(&mut self, message: MessageId, endpoint: EndpointId, limit: Duration) {
-        let attempt = PendingAttempt { message, limit, needs_record: true };
+    fn send(&mut self, message: MessageId, endpoint: EndpointId, timeout: Duration) {
+        let attempt = PendingAttempt { message, timeout, needs_record: true };
         match self.pending_sends.iter_mut().find(|sends| sends.endpoint == endpoint) {
             Some(sends) => sends.attempts.push(attempt),
             None => self.pending_sends.push(PendingSends { endpoint, attempts: vec![attempt] }),
@@ -63,13 +63,13 @@
         let name = self.endpoints.get(endpoint).map(|known| known.name.clone());
         let in_maintenance = name.is_some_and(|name| self.maintenance.borrow().is_in_maintenance(&name));
         if let Some(forgotten) = self.endpoints.forget(endpoint, in_maintenance) {
-            let suffix = if in_maintenance { " while out by hand" } else { "" };
+            let suffix = if in_maintenance { " while in maintenance" } else { "" };
             info!("endpoint {} is forgotten{suffix}", forgotten.name);
         }
     }
 
-    fn wake_after(&mut self, span: Duration) {
-        let wake = self.now + span;
+    fn wake_after(&mut self, delay: Duration) {
+        let wake = self.now + delay;
         self.next_wake = Some(self.next_wake.map_or(wake, |earlier| earlier.min(wake)));
     }
 
--- a/crates/relay/src/dispatch/handlers.rs
+++ b/crates/relay/src/dispatch/handlers.rs
@@ -27,7 +27,9 @@
                 self.send_permission_requests.push(SendPermissionRequest { endpoint, address, reply_to });
             }
             Event::EndpointList(result) => self.on_poll_ended(result, inputs),
-            Event::NotificationsAcknowledged(messages) => self.on_acknowledged(messages, inputs),
+            Event::NotificationsAcknowledged(messages) => {
+                self.on_notifications_acknowledged(messages, inputs);
+            }
             Event::MaintenanceChanged(change) => self.on_maintenance_changed(change, inputs),
             Event::StopRequested(plan) => self.on_stop_requested(plan, inputs),
         }
@@ -183,8 +185,8 @@
 
     fn on_attempts_ended(&mut self, call: CallNumber, results: CallResult, inputs: &mut Vec<Input>) {
         if let Some(endpoint) = self.calls_in_flight.get(&call).map(|call| call.endpoint) {
-            if let Some(span) = results.retry_after {
-                inputs.push(Input::RetryAfter { endpoint, span });
+            if let Some(duration) = results.retry_after {
+                inputs.push(Input::RetryAfter { endpoint, duration });
             }
             if let Some(rate) = self.reported_rate_limit(&results) {
                 inputs.push(Input::RateLimitReported { endpoint, rate });
@@ -236,7 +238,7 @@
         let spool = self.spool.borrow();
         let Some(stored) = spool.get(message.0) else { return };
         let id = stored.accepted.id.clone();
-        self.metrics.count_key_rest(outcome.name());
+        self.metrics.count_key_hold_off(outcome.name());
         debug!(
             "key {:016x} on hold-off: message {} in call {} may still be running after outcome {}",
             key.0,
@@ -257,7 +259,7 @@
         }
     }
 
-    fn on_acknowledged(&mut self, messages: Vec<MessageId>, inputs: &mut Vec<Input>) {
+    fn on_notifications_acknowledged(&mut self, messages: Vec<MessageId>, inputs: &mut Vec<Input>) {
         for message in messages {
             self.record_ended_id(message);
             self.close_message(message, inputs);
@@ -270,7 +272,7 @@
         if plan.is_handover {
             self.is_handing_over = true;
             self.files.write_handover_marker();
-            info!("relay hands over to the process beside it, and makes no further attempts");
+            info!("relay hands over to its successor process and makes no further attempts");
             inputs.push(Input::HandoverStarted);
         }
     }
--- a/crates/relay/src/dispatch/restore.rs
+++ b/crates/relay/src/dispatch/restore.rs
@@ -10,7 +10,7 @@
 use mountshift_spool::{AcceptedMessage, AttemptRecord, FinalOutcome, StoredMessage};
 use std::time::Duration;
 
-/// Minimum of a restored time. Zero means "none" or "due now".
+/// Minimum of a restored time that is not zero: zero means "none" or "due now".
 const MIN_NONZERO_TIME: Duration = Duration::from_millis(1);
 
 impl DispatcherState {
@@ -23,7 +23,7 @@
         for route in &snapshot.routes {
             restored.extend(self.restored_route(route));
         }
-        info!("restores {} routes of the process before", restored.len());
+        info!("restored {} routes of the previous process", restored.len());
         inputs.push(Input::RoutesRestored(restored));
     }
 
--- a/crates/relay/tests/handover/failing_folder.rs
+++ b/crates/relay/tests/handover/failing_folder.rs
@@ -67,7 +67,7 @@
     wait_until("the stop", || fixture.log().contains("told to stop"));
     active_connection.write_all(second_half).expect("send the second half");
     let reply = Client(BufReader::new(active_connection)).read_reply();
-    let hands_over = fixture.log().contains("hands over to the process beside it");
+    let hands_over = fixture.log().contains("hands over to its successor process");
     assert!(!hands_over || reply == "-BUSY", "{call}, {target:?}: the successor may accept ordered messages");
     let accepted: &[&str] = if reply == "+OK" { &["late", "first", "second"] } else { &["first", "second"] };
     set(SystemCallFault::default());
@@ -91,9 +91,9 @@
     }
 }
 
-// Guards against a relay without a process after two upgrades in quick succession. A successor that takes over holds both
-// locks while it merges the two spools, which took 0.7 s with failing unlinks. The next process waited only 0.5 s, assumed
-// two running processes and exited with code 1, after the one before had been told to stop for it.
+// Guards against a relay without a process after two upgrades in quick succession. A successor that takes over holds
+// both locks while it merges the two spools, which took 0.7 s with failing unlinks. The next process waited only 0.5 s,
+// assumed two running processes and exited with code 1, after the previous process had been requested to stop for it.
 #[test]
 fn start_waits_while_a_takeover_holds_both_locks() {
     let fixture = upgrade_fixture();
--- a/crates/relay/tests/handover/main.rs
+++ b/crates/relay/tests/handover/main.rs
@@ -45,7 +45,7 @@
     active.terminate();
     // The log records the stop signal before the dispatcher handles it. The successor accepts ordered messages only once
     // the dispatcher hands over.
-    wait_until("the handover", || fixture.log().contains("hands over to the process beside it"));
+    wait_until("the handover", || fixture.log().contains("hands over to its successor process"));
     fixture.submit("m2", 5, "pay");
     assert_eq!(fixture.endpoint.ids(), ["m1"]);
     fixture.gate.open();
@@ -105,7 +105,7 @@
     assert!(fixture.platform.notifications().is_empty(), "{:?}", fixture.platform.notifications());
 }
 
-// A notification that the platform has not accepted before the handover is sent again by the successor.
+// A notification that the platform has not acknowledged before the handover is sent again by the successor.
 #[test]
 fn pending_notification_at_a_handover_is_sent_by_the_successor() {
     let fixture = upgrade_fixture_with(usize::MAX, 500);
@@ -123,8 +123,8 @@
     assert_eq!(fixture.endpoint.ids(), ["m1"]);
 }
 
-// The active process has exited when the successor reads the snapshot: exiting over an unreadable one would leave the
-// relay without a process.
+// The active process has exited when the successor reads the snapshot: if the successor exited because of an unreadable
+// one, the relay would be without a process.
 #[test]
 fn unreadable_snapshot_does_not_stop_the_successor() {
     let fixture = upgrade_fixture();
--- a/crates/relay/tests/races.rs
+++ b/crates/relay/tests/races.rs
@@ -137,7 +137,7 @@
     wait_until("the stop", || fixture.log().contains("told to stop, for a restart"));
     gate.open();
     assert_eq!(relay.wait_for_exit_code(), Some(0));
-    assert!(fixture.log().contains("stopped with 0 calls out, 0 messages kept"), "{}", fixture.log());
+    assert!(fixture.log().contains("stopped with 0 calls in flight, 0 messages kept"), "{}", fixture.log());
     let _relay = fixture.start_relay();
     assert_eq!(endpoint.ids(), ["m1"]);
 }
@@ -290,14 +290,14 @@
     let (old, new) = (Server::start(|_| ok()), Server::start(|_| ok()));
     let (e1, e2) = (member("e1", old.address, 7, "single"), member("e2", new.address, 7, "single"));
     let gate = Gate::default();
-    let (passed, both) = (gate.clone(), json!({"revision": 9, "complete": true, "members": [e1, e2]}));
+    let (passed, list) = (gate.clone(), json!({"revision": 9, "complete": true, "members": [e1, e2]}));
     // The first list request gets a complete response at once; the watch that follows is held until the change is done.
     let list_requests = AtomicUsize::new(0);
     let old_discovery = Server::start(move |r| {
         if r.path.starts_with("/catalog") && list_requests.fetch_add(1, Ordering::SeqCst) > 0 {
             passed.pass();
         }
-        respond(200, "", &both.to_string())
+        respond(200, "", &list.to_string())
     });
     let mut fixture = fixture(0, vec![e2]);
     fixture.config["discovery"] = json!(old_discovery.address.to_string());
@@ -345,7 +345,7 @@
     wait_until("the call", || old.ids() == ["m1", "m2"]);
     relay.signal("TERM");
     assert_eq!(relay.wait_for_exit_code(), Some(0));
-    assert!(fixture.log().contains("stopped with 0 calls out, 0 messages kept"), "{}", fixture.log());
+    assert!(fixture.log().contains("stopped with 0 calls in flight, 0 messages kept"), "{}", fixture.log());
     assert!(fixture.platform.notifications().is_empty(), "{:?}", fixture.platform.notifications());
 }
 
@@ -428,7 +428,7 @@
     assert_eq!(relay.submit("pay2", 5, "c=pay,d=15000,dest=7", b"2"), "+OK");
     wait_until("the notification", || fixture.platform.notifications().len() == 1);
     let ended = std::time::Instant::now();
-    // By then the notification is accepted and the message forgotten.
+    // By then the notification is acknowledged and the message is forgotten.
     std::thread::sleep(ms(200));
     relay.signal("KILL");
     drop(relay);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,6 @@
 //! All decisions of one relay. A host calls [`DeliveryPolicy::step`] with its inputs; the decisions are
 //! returned as calls of [`Actions`]. Each module has one concern and its tuned constants (docs/design.md).
-//! Every send passes `safety`, the one place where the six rules are enforced.
+//! Every send passes `safety`, the one place where the six rules of the crate's documentation are enforced.
 
 mod admission;
 pub(crate) mod circuit_breaker;
@@ -25,7 +25,7 @@
 /// uneven traffic.
 const LARGE_FLEET: u32 = 6;
 
-/// The decisions of one relay: when and where each message is sent, and when it is given up.
+/// The decisions of one relay: when and where each message is sent, and when it fails.
 #[derive(Default)]
 pub struct DeliveryPolicy {
     state: State,
@@ -114,24 +114,24 @@
 
 fn apply(state: &mut State, input: Input) {
     match input {
-        Input::Submitted { message, submission } => admission::submitted(state, message, submission),
+        Input::Submitted { message, submission } => admission::add_message(state, message, submission),
         Input::EarlierAttempt { message, zone, at, may_have_run } => {
             state.record_earlier_attempt(message, PossibleRun { at, zone }, may_have_run);
         }
         Input::FinalAnswerPending(message) => state.messages.end(message, false),
         Input::Closed(message) => state.messages.close(message),
         Input::AttemptEnded { message, endpoint, elapsed, outcome, run, closed } => {
-            retry::attempt_ended(state, message, &EndedAttempt { endpoint, elapsed, outcome, run, closed });
+            retry::end_attempt(state, message, &EndedAttempt { endpoint, elapsed, outcome, run, closed });
         }
-        Input::RetryAfter { endpoint, span } => state.extend_retry_after(endpoint, span),
-        Input::RateLimitReported { endpoint, rate } => pacing::rate_limit_reported(state, endpoint, rate),
+        Input::RetryAfter { endpoint, duration } => state.extend_retry_after(endpoint, duration),
+        Input::RateLimitReported { endpoint, rate } => pacing::set_reported_rate(state, endpoint, rate),
         Input::FullListBegins => state.endpoints.mark_all_unavailable(state.now),
-        Input::EndpointListed(listed) => discovery::endpoint_listed(state, listed),
-        Input::ListReceived => state.list_received(),
-        Input::ListMayBeStale => discovery::list_may_be_stale(state),
-        Input::PollFailed { retry_after } => discovery::poll_failed(state, retry_after),
+        Input::EndpointListed(listed) => discovery::update_endpoint(state, listed),
+        Input::ListReceived => state.record_list_received(),
+        Input::ListMayBeStale => discovery::await_list_refresh(state),
+        Input::PollFailed { retry_after } => discovery::record_poll_failure(state, retry_after),
         Input::EndpointRestarted(endpoint) => state.start_slow_start(endpoint),
         Input::HandoverStarted => state.is_handing_over = true,
-        Input::RoutesRestored(routes) => handover::routes_restored(state, &routes),
+        Input::RoutesRestored(routes) => handover::restore_routes(state, &routes),
     }
 }
--- a/tests/ordering.rs
+++ b/tests/ordering.rs
@@ -1,4 +1,4 @@
-//! The order of a key is checked again right before the first byte of an attempt.
+//! Tests that the order of a key is checked again right before the first byte of an attempt.
 
 use mountshift::interface::*;
 use mountshift::policy::DeliveryPolicy;
@@ -13,7 +13,7 @@
 struct SendRecorder(Vec<MessageId>);
 
 impl Actions for SendRecorder {
-    fn send(&mut self, message: MessageId, _endpoint: EndpointId, _limit: Duration) {
+    fn send(&mut self, message: MessageId, _endpoint: EndpointId, _timeout: Duration) {
         self.0.push(message);
     }
     fn reject(&mut self, _message: MessageId, _retry_after: Duration) -> bool {
@@ -25,7 +25,7 @@
     fn cancel(&mut self, _message: MessageId, _attempt: AttemptNumber) {}
     fn close_idle_connections(&mut self, _endpoint: EndpointId) {}
     fn forget_endpoint(&mut self, _endpoint: EndpointId) {}
-    fn wake_after(&mut self, _span: Duration) {}
+    fn wake_after(&mut self, _delay: Duration) {}
     fn poll_endpoints(&mut self) {}
     fn log(&mut self, _line: &str) {}
 }
