--- a/crates/relay/src/signals.rs
+++ b/crates/relay/src/signals.rs
@@ -140,10 +140,10 @@
         self.reload_pending_since = None;
         let before = self.discovery;
         if address == before {
-            info!("configuration reloaded: discovery stays at {address}");
+            info!("told to reload the configuration: discovery stays at {address}");
             return;
         }
-        info!("configuration reloaded: discovery moves from {before} to {address}");
+        info!("told to reload the configuration: discovery moves from {before} to {address}");
         self.discovery = address;
         for moves in &self.discovery_moves {
             let _ = moves.try_send(address);
