--- a/crates/relay/src/signals.rs
+++ b/crates/relay/src/signals.rs
@@ -155,7 +155,7 @@
         self.is_stopping = true;
         let has_successor = self.is_active.get() && is_locked_by_another(&self.successor_path);
         let plan = mountshift_handover::stop_plan(has_successor);
-        let purpose = if plan.is_handover { "with a process beside it" } else { "for a restart" };
+        let purpose = if plan.is_handover { "for a handover to its successor" } else { "for a restart" };
         info!("told to stop, {purpose}");
         let _ = self.events.send(Event::StopRequested(plan)).await;
         let clients_stopping = self.clients_stopping.clone();
--- a/crates/relay/src/state_files.rs
+++ b/crates/relay/src/state_files.rs
@@ -121,7 +121,7 @@
             }
             Err(e) => {
                 error!(
-                    "{}: {e}; Retry-After waits and breakers of the process before are not known",
+                    "{}: {e}; Retry-After waits and breakers of the previous process are not restored",
                     path.display()
                 );
                 None
--- a/crates/relay/tests/handover/main.rs
+++ b/crates/relay/tests/handover/main.rs
@@ -135,7 +135,7 @@
         .expect("write the snapshot");
     active.terminate();
     assert!(active.exits_within(ms(3_600)));
-    let log_text = "waits and breakers of the process before are not known";
+    let log_text = "waits and breakers of the previous process are not restored";
     wait_until("the successor to own the state folder", || fixture.log().contains(log_text));
     fixture.submit("m1", 0, "any");
     wait_until("the call", || fixture.endpoint.ids() == ["m1"]);
--- a/crates/relay/tests/handover/under_load.rs
+++ b/crates/relay/tests/handover/under_load.rs
@@ -157,7 +157,7 @@
     let counts = MessageCounts::count(&endpoint, &platform);
     let log = std::fs::read_to_string(dir.path().join("log")).unwrap_or_default();
     assert!(seen.accepted.len() > 100, "{} accepted, {} rejected", seen.accepted.len(), seen.rejected.len());
-    assert_eq!(log.matches("told to stop, with a process beside it").count(), 3, "{log}");
+    assert_eq!(log.matches("told to stop, for a handover to its successor").count(), 3, "{log}");
     let sent = endpoint.ids();
     for id in &seen.accepted {
         // Each accepted message is sent at most once and ends exactly once.
