--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -1,6 +1,8 @@
 //! The circuit breaker of a route: consecutive failures open it, a successful trial closes it again.
 
-use super::concurrency::{CONCURRENCY_LIMIT_MAX, ENDPOINT_FAILURE_THRESHOLD, LIMIT_DECREASE};
+use super::concurrency::{
+    CONCURRENCY_LIMIT_DECREASE_FACTOR, CONCURRENCY_LIMIT_MAX, ENDPOINT_FAILURE_THRESHOLD,
+};
 use super::{pacing, slow_start};
 use crate::interface::Outcome;
 use crate::state::{Backoff, Breaker, CallResult, State};
@@ -70,7 +72,12 @@
 pub(super) fn record_failure(state: &mut State, call: &CallResult) {
     let now = state.now;
     let skip_until = now + RECOVERY_DELAY;
-    state.endpoints.record_failure(call.endpoint, LIMIT_DECREASE, ENDPOINT_FAILURE_THRESHOLD, skip_until);
+    state.endpoints.record_failure(
+        call.endpoint,
+        CONCURRENCY_LIMIT_DECREASE_FACTOR,
+        ENDPOINT_FAILURE_THRESHOLD,
+        skip_until,
+    );
     let jitter = state.jitter.draw(call.endpoint.0);
     let waiting = state.messages.count_without_call(call.route.destination);
     let Some(route) = state.routes.get_mut(call.route) else { return };
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -9,7 +9,7 @@
 /// Highest concurrency limit of an endpoint; all its calls in flight are lost time when the endpoint fails.
 pub(super) const CONCURRENCY_LIMIT_MAX: f64 = 24.0;
 /// Factor by which a failure or rejection reduces the concurrency limit.
-pub(super) const LIMIT_DECREASE: f64 = 0.6;
+pub(super) const CONCURRENCY_LIMIT_DECREASE_FACTOR: f64 = 0.6;
 /// Consecutive failures after which one endpoint of several is skipped for a while.
 pub(super) const ENDPOINT_FAILURE_THRESHOLD: u32 = 3;
 /// Maximum calls in flight to one destination, as a multiple of the free calls: at most two thirds of all.
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -1,7 +1,7 @@
 //! Rate limits: a route is paced to this relay's share of its rate limit. The share falls with rejections and
 //! grows with successes. After a rejection the route also backs off.
 
-use super::{LARGE_FLEET, concurrency::LIMIT_DECREASE, slow_start};
+use super::{LARGE_FLEET, concurrency::CONCURRENCY_LIMIT_DECREASE_FACTOR, slow_start};
 use crate::interface::*;
 use crate::state::{Backoff, Breaker, CallResult, Route, RouteId, State, TokenBucket};
 use std::time::Duration;
@@ -103,7 +103,7 @@
 pub(super) fn record_rejection(state: &mut State, call: &CallResult, retry_after: Duration) {
     let now = state.now;
     let jitter = state.jitter.draw(call.endpoint.0);
-    state.endpoints.record_rejection(call.endpoint, LIMIT_DECREASE);
+    state.endpoints.record_rejection(call.endpoint, CONCURRENCY_LIMIT_DECREASE_FACTOR);
     let Some(route) = state.routes.get_mut(call.route) else { return };
     route.record_rejection(now);
     if now.saturating_sub(route.rate_share_decreased_at) > RATE_SHARE_DECREASE_INTERVAL {
