--- a/crates/relay/src/dispatch/calls.rs
+++ b/crates/relay/src/dispatch/calls.rs
@@ -270,7 +270,7 @@
     fn call(&self, number: CallNumber, planned: PlannedCall, stage: Rc<Cell<CallStage>>) -> Call {
         // A call times out as a whole, so that none of its messages is sent again while the call is open, and at the
         // shortest timeout of its attempts: a response after a message's deadline doesn't count.
-        let limit = planned.attempts.iter().map(|attempt| attempt.timeout).min().unwrap_or_default();
+        let timeout = planned.attempts.iter().map(|attempt| attempt.timeout).min().unwrap_or_default();
         let messages = planned.messages().filter_map(|message| self.call_message(message)).collect();
         let zone = self.endpoints.zone_name(planned.endpoint.zone).to_string();
         let address = planned.endpoint.address;
@@ -278,7 +278,7 @@
             endpoint_id: planned.endpoint_id,
             endpoint: planned.endpoint,
             messages,
-            time_limit: limit,
+            timeout,
             connect_timeout: self.settings.connect_timeout,
             // The time of the decision, so that a slow commit counts as part of the delay.
             decided_at: self.clock.instant(self.now),
--- a/crates/relay/src/notifications.rs
+++ b/crates/relay/src/notifications.rs
@@ -146,10 +146,10 @@
     async fn call(&mut self, batch: &[Notification]) -> CallResult {
         let body: String = batch.iter().map(Notification::line).collect();
         let bytes = encode_request("POST", "/status", &self.address.to_string(), &[], body.as_bytes());
-        let answer =
+        let response =
             exchange(&mut self.connection, self.address, "notices", &bytes, MAX_RESPONSE_BYTES, CALL_TIMEOUT)
                 .await;
-        answer.map(|answer| answer.status).map_err(|e| e.to_string())
+        response.map(|response| response.status).map_err(|e| e.to_string())
     }
 
     async fn on_not_acknowledged(&mut self, batch: Vec<Notification>, result: CallResult) {
--- a/crates/relay/src/upstream/attempt.rs
+++ b/crates/relay/src/upstream/attempt.rs
@@ -123,8 +123,8 @@
     pub(crate) endpoint_id: EndpointId,
     pub(crate) endpoint: Endpoint,
     pub(crate) messages: Vec<CallMessage>,
-    /// Time limit of the call, from the decision on.
-    pub(crate) time_limit: Duration,
+    /// Timeout of the call, counted from `decided_at`.
+    pub(crate) timeout: Duration,
     pub(crate) connect_timeout: Duration,
     pub(crate) decided_at: Instant,
     /// Requests permission to call the endpoint; the receiver gets the reply.
@@ -140,7 +140,7 @@
     /// earlier, as the next message of a key must wait until the call has ended.
     pub(crate) async fn run(self, pool: &ConnectionPool, report: impl Fn(CallResult)) {
         // Counted from the decision on, so that a task that waits for the CPU gets no extra time.
-        let deadline = self.decided_at + self.time_limit;
+        let deadline = self.decided_at + self.timeout;
         let timed_out = async {
             Timer::at(deadline).await;
             // The request was not sent completely, so it can't have run.
@@ -278,8 +278,8 @@
 
     fn request(&self) -> Vec<u8> {
         let host = self.endpoint.address.to_string();
-        let time_limit = self.time_limit.as_millis().max(1).to_string();
-        let timeout_header = ("X-Timeout-Ms", time_limit.as_bytes());
+        let timeout_ms = self.timeout.as_millis().max(1).to_string();
+        let timeout_header = ("X-Timeout-Ms", timeout_ms.as_bytes());
         if let [message] = &self.messages[..] {
             let mut headers = vec![("X-Request-ID", &message.id[..]), timeout_header];
             if let Some(key) = &message.idempotency_key {
--- a/crates/relay/src/upstream/http1.rs
+++ b/crates/relay/src/upstream/http1.rs
@@ -19,7 +19,7 @@
 /// Size of the buffer for one read.
 const READ_CHUNK_BYTES: usize = 8 * 1024;
 /// Time within which a response must be complete once it has begun. A response that never ends would otherwise occupy
-/// its slot up to the time limit, and delay its messages beyond that.
+/// its slot until the timeout of the call, and delay its messages beyond that.
 const REST_OF_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum number of bytes of an unreadable response that are logged.
 const MAX_LOGGED_BYTES: usize = 60;
--- a/crates/relay/src/upstream/tests.rs
+++ b/crates/relay/src/upstream/tests.rs
@@ -53,7 +53,7 @@
 fn call(
     address: SocketAddr,
     body_bytes: usize,
-    time_limit: Duration,
+    timeout: Duration,
     may_send: impl Fn() -> bool + 'static,
 ) -> Call {
     let endpoint = Endpoint {
@@ -76,8 +76,8 @@
             idempotency_key: None,
             body,
         }],
-        time_limit,
-        connect_timeout: time_limit,
+        timeout,
+        connect_timeout: timeout,
         decided_at: Instant::now(),
         request_send_permission: Box::new(|| {
             let (reply_to, reply) = async_channel::bounded(1);
@@ -91,17 +91,17 @@
 
 const BODY: usize = 60_000;
 
-// A call that is cancelled or reaches its time limit before its last byte is written must not count as one that may
+// A call that is cancelled or reaches its timeout before its last byte is written must not count as one that may
 // have run. The test checks how many bytes the server receives.
 #[test_case(Duration::from_secs(20) => None; "cancelled")]
-#[test_case(Duration::from_millis(300) => Some(Outcome::ConnectFailed); "at its time limit")]
-fn a_call_that_ends_while_writing_never_arrives_completely(time_limit: Duration) -> Option<Outcome> {
+#[test_case(Duration::from_millis(300) => Some(Outcome::ConnectFailed); "at its timeout")]
+fn a_call_that_ends_while_writing_never_arrives_completely(timeout: Duration) -> Option<Outcome> {
     let (connection, mut server) = connect_with_small_buffers();
     let (pool, address) = (ConnectionPool::new(Duration::from_secs(60), 8), connection.address);
     pool.put_back(EndpointId(1), connection);
     let (recorded, reported) = (Rc::new(Cell::new(0)), RefCell::new(None));
     let counter = recorded.clone();
-    let call = call(address, BODY, time_limit, move || {
+    let call = call(address, BODY, timeout, move || {
         counter.set(counter.get() + 1);
         true
     });
@@ -114,8 +114,7 @@
             while stage.get() == CallStage::Connecting {
                 futures_lite::future::yield_now().await;
             }
-            Timer::after(if time_limit > Duration::from_secs(1) { Duration::ZERO } else { time_limit * 10 })
-                .await;
+            Timer::after(if timeout > Duration::from_secs(1) { Duration::ZERO } else { timeout * 10 }).await;
         };
         run.or(cancelled).await;
     });
--- a/crates/relay/tests/order_by_key.rs
+++ b/crates/relay/tests/order_by_key.rs
@@ -13,7 +13,7 @@
 const HOLD_OFF: Duration = Duration::from_millis(1_200);
 /// Maximum gap before the next message of a key without a hold-off.
 const MAX_GAP_WITHOUT_HOLD_OFF: Duration = Duration::from_millis(800);
-/// Time to the deadline of messages whose call may end by the relay's time limit.
+/// Time to the deadline of messages whose call may end at the relay's timeout.
 const SHORT_DEADLINE_MS: u64 = 2_500;
 /// Number of cases that one relay runs concurrently, each with its own destination.
 const CONCURRENT_CASES: usize = 16;
--- a/crates/relay/tests/relay/calls.rs
+++ b/crates/relay/tests/relay/calls.rs
@@ -20,8 +20,8 @@
     let header = |name: &str| request.headers.get(name).map(String::as_str);
     assert_eq!((request.path.as_str(), &request.body), ("/receive", &body));
     assert_eq!((header("x-request-id"), header("idempotency-key")), (Some("m1"), Some("abc-1")));
-    let limit: u64 = header("x-timeout-ms").and_then(|l| l.parse().ok()).expect("a time limit");
-    assert!(limit > 0 && limit <= 8_000, "{limit}");
+    let timeout_ms: u64 = header("x-timeout-ms").and_then(|text| text.parse().ok()).expect("a timeout");
+    assert!(timeout_ms > 0 && timeout_ms <= 8_000, "{timeout_ms}");
     // The connection is reused, and a delivered message causes no notification.
     relay.submit("m2", 0, "c=once,d=8000,dest=7", b"");
     wait_until("the call", || endpoint.requests().len() == 2);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn batch_call_ends_by_the_earliest_time_limit_of_its_messages() {
+fn batch_call_ends_at_the_shortest_timeout_of_its_messages() {
     // Every batch call gets a successful response, but after the deadline of its first message.
     let all_delivered =
         |r: &Request| r.ids().iter().map(|id| format!("{id} delivered\r\n")).collect::<String>();
@@ -194,13 +194,16 @@
         fixture.platform.notifications() == [r#"{"id":"m1","state":"failed"}"#]
     });
     assert!(start.elapsed() < ms(900 + 300), "{:?}", start.elapsed());
-    // The relay ended the call at the limit it announced: the other message is sent again before the late response.
+    // The relay ended the call at the timeout in X-Timeout-Ms: the other message is sent again before the late response.
     wait_until("the retry of the other message", || {
         endpoint.ids().iter().filter(|id| *id == "long").count() == 2
     });
     let (first, retried_after) = (&endpoint.requests()[0], start.elapsed());
-    let limit: u64 = first.headers["x-timeout-ms"].parse().expect("a time limit");
-    assert!(limit <= 900 && retried_after < ms(1_600), "limit {limit} ms, retry after {retried_after:?}");
+    let timeout_ms: u64 = first.headers["x-timeout-ms"].parse().expect("a timeout");
+    assert!(
+        timeout_ms <= 900 && retried_after < ms(1_600),
+        "timeout {timeout_ms} ms, retry after {retried_after:?}"
+    );
     wait_until("the next message of the key", || endpoint.ids().contains(&"m2".to_string()));
     let at = endpoint.requests().iter().find(|r| r.ids().contains(&"m2".into())).expect("m2").at;
     assert!(at.duration_since(start) >= ms(720 + 300), "{:?}", at.duration_since(start));
