--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -16,10 +16,10 @@
 const QUIET_FAILURE_THRESHOLD: u32 = 3;
 /// Time without a success, from the first failure on, after which a destination counts as quiet.
 const QUIET_PERIOD: Duration = Duration::from_millis(1_500);
-/// Delay before the first trial; also how long one failing endpoint of several is skipped.
+/// Delay before the first trial; also the time for which one failing endpoint of several is skipped.
 pub(super) const RECOVERY_DELAY: Duration = Duration::from_millis(1_800);
-/// Delay before a trial, longer after each failed one: few attempts in a long outage. The maximum bounds the
-/// time in which a recovery is detected.
+/// Delay before a trial. Grows after each failed trial, so that a long outage gets few attempts; the maximum
+/// bounds the time until a recovery is detected.
 const TRIAL_WAIT: Backoff = Backoff { first: RECOVERY_DELAY, growth: 1.4, max: Duration::from_millis(4_500) };
 /// Waiting messages per failure above which the trial delay does not grow, as messages outnumber trials.
 const WAITING_MESSAGES_PER_FAILURE: u32 = 4;
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -4,9 +4,9 @@
 use crate::interface::DestinationId;
 use crate::state::State;
 
-/// Concurrency limit of a new endpoint: enough calls to measure its response time, few if it is slow.
+/// Concurrency limit of a new endpoint: enough calls to measure its response time, but few in case it is slow.
 pub(super) const CONCURRENCY_LIMIT_INITIAL: f64 = 4.0;
-/// Highest concurrency limit of an endpoint; all its calls in flight are lost time when the endpoint fails.
+/// Highest concurrency limit of an endpoint; bounds the calls in flight whose time is lost when it fails.
 pub(super) const CONCURRENCY_LIMIT_MAX: f64 = 24.0;
 /// Factor by which a failure or rejection reduces the concurrency limit.
 pub(super) const CONCURRENCY_LIMIT_DECREASE_FACTOR: f64 = 0.6;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -82,7 +82,7 @@
         Some(self.state.messages.ordering_state(message, held, now))
     }
 
-    /// Returns a message's ordering key; none if the message is unordered or not held.
+    /// Returns a message's ordering key, or `None` if the message is unordered or not held.
     pub fn ordering_key(&self, message: MessageId) -> Option<OrderingKey> {
         self.state.messages.get(message)?.key
     }
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -69,7 +69,7 @@
 }
 
 /// Estimates the rate limit from this relay's successful calls if no rate is known. Without an estimate a
-/// slow start would let hardly any call pass until it is over.
+/// slow start would allow hardly any calls until its end.
 pub(super) fn estimate_rate_limit(state: &mut State, id: RouteId) {
     let (now, relay_count) = (state.now, state.relay_count());
     let Some(route) = state.routes.get_mut(id) else { return };
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -71,7 +71,7 @@
     let runs = POSSIBLE_RUNS_MIN + (class.priority_weight / lowest_weight).round();
     let is_repeat_safe = class.idempotency == Idempotency::Idempotent
         || message.first_possible_run.is_none()
-        || message.deduplication_left(class, state.now) > Some(DEADLINE_MARGIN * 2);
+        || message.remaining_deduplication_time(class, state.now) > Some(DEADLINE_MARGIN * 2);
     let has_attempts = message.attempts < state.settings.max_attempts;
     has_attempts && f64::from(message.possible_runs) < runs && is_repeat_safe
 }
--- a/src/policy/safety.rs
+++ b/src/policy/safety.rs
@@ -102,7 +102,7 @@
     if is_repeat && class.idempotency == Idempotency::NotIdempotent {
         return Err(SendError::UnsafeRepeat);
     }
-    if is_repeat && message.deduplication_left(class, now) == Some(Duration::ZERO) {
+    if is_repeat && message.remaining_deduplication_time(class, now) == Some(Duration::ZERO) {
         return Err(SendError::DeduplicationExpired);
     }
     if !state.messages.is_next_for_key(id, message, now) {
@@ -124,7 +124,7 @@
     let attempt_time = left.mul_f64(ATTEMPT_TIME_SHARE).max(timeout).min(left);
     let limit = if class.idempotency == Idempotency::NotIdempotent { left } else { attempt_time };
     // A repeat must arrive while it is recognised, even if its connection is established or served late.
-    match message.deduplication_left(class, state.now) {
+    match message.remaining_deduplication_time(class, state.now) {
         Some(recognised) => limit.min(recognised.saturating_sub(DEADLINE_MARGIN)),
         None => limit,
     }
--- a/src/state/calls.rs
+++ b/src/state/calls.rs
@@ -30,7 +30,7 @@
     pub(crate) number: CallNumber,
     pub(crate) route: RouteId,
     pub(crate) endpoint: EndpointId,
-    /// Whether the call's result has not been counted before.
+    /// Whether no result of the call was counted before this one.
     pub(crate) is_first_result: bool,
     pub(crate) is_over: bool,
     pub(crate) filled: bool,
--- a/src/state/key_queues.rs
+++ b/src/state/key_queues.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns the end of the key's hold-off for an attempt of `by`; none if there is none.
+    /// Returns the end of the hold-off that an attempt of the message `by` started for the key, if one applies.
     pub(crate) fn hold_off_end(
         &self,
         key: Option<OrderingKey>,
--- a/src/state/messages.rs
+++ b/src/state/messages.rs
@@ -113,7 +113,11 @@
 
     /// Returns the remaining time in which endpoints recognise a repeat, if the message may have run and has a
     /// deduplication window.
-    pub(crate) fn deduplication_left(&self, class: &MessageClass, now: Duration) -> Option<Duration> {
+    pub(crate) fn remaining_deduplication_time(
+        &self,
+        class: &MessageClass,
+        now: Duration,
+    ) -> Option<Duration> {
         let window = class.idempotency.deduplication_window()?;
         let run = self.first_possible_run?;
         Some((run.at + window).saturating_sub(now))
@@ -218,7 +222,7 @@
         self.by_id.remove(&id);
     }
 
-    /// Returns the end of the key's hold-off for an attempt of the message; none if there is none.
+    /// Returns the end of the hold-off that an attempt of the message started for its key, if one applies.
     pub(crate) fn key_hold_off_until(&self, id: MessageId, now: Duration) -> Option<Duration> {
         self.key_queues.hold_off_end(self.get(id)?.key, id, now)
     }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -426,10 +426,10 @@
     let scope = DeduplicationScope::AllEndpoints;
     let class = class(Idempotency::WithKey { window: seconds(5.0), scope });
     let mut message = Message::new(&submission(1), &class);
-    assert_eq!(message.deduplication_left(&class, seconds(1.0)), None, "it has not run");
+    assert_eq!(message.remaining_deduplication_time(&class, seconds(1.0)), None, "it has not run");
     message.record_sent(1, PossibleRun { at: seconds(1.0), zone: ZoneId(0) });
-    assert_eq!(message.deduplication_left(&class, seconds(4.0)), Some(seconds(2.0)));
-    assert_eq!(message.deduplication_left(&class, seconds(9.0)), Some(Duration::ZERO));
+    assert_eq!(message.remaining_deduplication_time(&class, seconds(4.0)), Some(seconds(2.0)));
+    assert_eq!(message.remaining_deduplication_time(&class, seconds(9.0)), Some(Duration::ZERO));
 }
 
 #[test]
