--- a/crates/relay/src/clock.rs
+++ b/crates/relay/src/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks: durations since a start for the policy, and the time line of stored times.
+//! Clocks: durations since a start for the policy, and the time base of stored times.
 //!
 //! Times that outlive a process are stored as Unix time, but not as read from the wall clock: an operator or a time
 //! service may step that clock, while deadlines and windows are durations. The first process on a state folder after a
@@ -112,7 +112,7 @@
     }
 }
 
-/// Time line of stored times: Unix time unaffected by steps of the wall clock.
+/// Time base of stored times: Unix time unaffected by steps of the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StoredTime {
     created: Instant,
@@ -123,23 +123,23 @@
 }
 
 impl StoredTime {
-    /// Returns the time line of a valid anchor.
+    /// Returns the time base of a valid anchor.
     pub(crate) fn new(anchor: &TimeAnchor, reading: &ClockReading) -> StoredTime {
         let created_unix = anchor.unix + reading.monotonic.saturating_sub(anchor.monotonic);
         StoredTime { created: reading.instant, created_unix, is_shared: true }
     }
 
-    /// Returns a time line used by this process only, based on the wall clock of the reading.
+    /// Returns a time base used by this process only, based on the wall clock of the reading.
     pub(crate) fn unshared(reading: &ClockReading) -> StoredTime {
         StoredTime { created: reading.instant, created_unix: reading.wall, is_shared: false }
     }
 
-    /// Returns whether all processes of the boot use this time line.
+    /// Returns whether all processes of the boot use this time base.
     pub(crate) fn is_shared(&self) -> bool {
         self.is_shared
     }
 
-    /// Translates a Unix time in microseconds from this time line to another one.
+    /// Translates a Unix time in microseconds from this time base to another one.
     pub(crate) fn translate_us(&self, unix_us: u64, to: &StoredTime) -> u64 {
         let since = |time: &StoredTime| time.unix_of(self.created).as_micros() as u64;
         (unix_us + since(to)).saturating_sub(since(self))
@@ -163,12 +163,12 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
     stored_time: StoredTime,
-    /// Duration from the start to the creation of the time line.
+    /// Duration from the start to the creation of the time base.
     lead: Duration,
 }
 
 impl Clock {
-    /// Returns a clock that starts at the creation of the time line, or at `oldest_ms` (Unix milliseconds) if that is
+    /// Returns a clock that starts at the creation of the time base, or at `oldest_ms` (Unix milliseconds) if that is
     /// earlier.
     pub(crate) fn new(stored_time: StoredTime, oldest_ms: Option<u64>) -> Clock {
         let oldest = oldest_ms.map_or(stored_time.created_unix, Duration::from_millis);
--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -102,7 +102,7 @@
 }
 
 /// Waits for a new address of discovery. Never returns once the channel is closed, so that the caller keeps using its
-/// current address: the relay still sends then, and updates from discovery remain binding (rule 3).
+/// current address: the relay may still send, and must follow the updates of discovery (rule 3).
 pub(crate) async fn next_address(moves: &Receiver<SocketAddr>) -> SocketAddr {
     match moves.recv().await {
         Ok(address) => address,
--- a/crates/relay/src/startup/config.rs
+++ b/crates/relay/src/startup/config.rs
@@ -151,7 +151,8 @@
     }
 }
 
-/// Returns the address of discovery from the file, without its environment variable. The whole file must be valid.
+/// Returns the address of discovery from the configuration file, ignoring its environment variable. The whole file must
+/// be valid.
 pub(crate) fn reload_discovery() -> Result<SocketAddr, ConfigError> {
     let variable = |name: &str| std::env::var(name).ok().filter(|_| name != DISCOVERY_VARIABLE);
     StartConfig::read(variable).map(|config| config.discovery)
--- a/crates/relay/src/startup/spool.rs
+++ b/crates/relay/src/startup/spool.rs
@@ -30,7 +30,7 @@
     pub(crate) spool: Spool,
     /// Events received before this process was active that the dispatcher has to handle, in order.
     pub(crate) deferred_events: DeferredEvents,
-    /// Time line by which stored data is dated.
+    /// Time base by which stored data is dated.
     pub(crate) stored_time: StoredTime,
     /// Name of the process that handed over to this one, if known.
     pub(crate) previous_process: Option<String>,
@@ -133,17 +133,17 @@
     }))
 }
 
-/// Messages accepted by a successor, and the time lines that their timestamps are translated between.
+/// Messages accepted by a successor, and the time bases that their timestamps are translated between.
 struct SuccessorMessages {
     spool: Spool,
-    /// Time line by which the successor dated the messages.
+    /// Time base by which the successor dated the messages.
     dated_by: StoredTime,
-    /// Time line that all processes share.
+    /// Time base that all processes share.
     shared_time: StoredTime,
 }
 
 impl SuccessorMessages {
-    /// Returns the messages with timestamps translated to the time line that all processes share.
+    /// Returns the messages with timestamps translated to the time base that all processes share.
     fn stored_messages(&self) -> Vec<StoredMessage> {
         let mut messages = stored_messages(&self.spool);
         if !self.dated_by.is_shared() {
--- a/crates/relay/src/state_files.rs
+++ b/crates/relay/src/state_files.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Returns the time line of stored times for the active process, from the anchor of an earlier process of this boot
-    /// or else from a new one.
+    /// Returns the time base of stored times for the active process, from the anchor of an earlier process of this boot
+    /// or, if there is none, from a new anchor.
     pub(crate) async fn stored_time(&self, retry_deadlines: &RetryDeadlines) -> StoredTime {
         let reading = ClockReading::now(retry_deadlines).await;
         let anchor = match self.read_anchor(&reading, retry_deadlines).await {
@@ -57,8 +57,8 @@
         StoredTime::new(&anchor, &reading)
     }
 
-    /// Returns the time line for a successor, from the anchor of the active process. If that can't be read, returns an
-    /// unshared time line. A successor must not write an anchor, which would change the meaning of all times stored by
+    /// Returns the time base for a successor, from the anchor of the active process. If that can't be read, returns an
+    /// unshared time base. A successor must not write an anchor, which would change the meaning of all times stored by
     /// the active process.
     pub(crate) async fn stored_time_as_successor(&self, retry_deadlines: &RetryDeadlines) -> StoredTime {
         let reading = ClockReading::now(retry_deadlines).await;
--- a/crates/relay/tests/operations.rs
+++ b/crates/relay/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Admin requests of operators to a relay process that runs against stand-ins on loopback sockets.
+//! Admin requests of operators to a relay process that runs against test servers on loopback sockets.
 
 #[allow(dead_code)]
 mod support;
--- a/crates/relay/tests/order_by_key.rs
+++ b/crates/relay/tests/order_by_key.rs
@@ -232,7 +232,7 @@
     assert!(wrong.is_empty(), "{wrong:#?}");
 }
 
-// A client without a reply submits its message again under a new id over another connection, while the first request is
+// A client that got no reply submits its message again under a new id over another connection, while the first request is
 // still unread. Whichever connection the relay reads first, the next message of the key must be sent last, and the
 // abandoned copy must not be sent in between.
 #[test]
@@ -248,23 +248,27 @@
         if round % 2 == 1 {
             connections.reverse();
         }
-        let [mut silent, mut again] = connections;
+        let [mut abandoned, mut resubmitting] = connections;
         relay.signal("STOP");
         wait_until("the relay to be suspended", || relay.is_suspended());
-        silent.send(&request(&format!("silent{round}")));
-        drop(silent);
-        again.send(&request(&format!("again{round}")));
+        abandoned.send(&request(&format!("abandoned{round}")));
+        drop(abandoned);
+        resubmitting.send(&request(&format!("resubmitted{round}")));
         relay.signal("CONT");
-        assert_eq!(again.read_reply(), "+OK");
-        assert_eq!(again.request(&request(&format!("next{round}"))), "+OK");
+        assert_eq!(resubmitting.read_reply(), "+OK");
+        assert_eq!(resubmitting.request(&request(&format!("next{round}"))), "+OK");
         wait_until("the next message", || endpoint.ids().contains(&format!("next{round}")));
     }
     let ids = endpoint.ids();
     for round in 0..ROUNDS {
         let position = |name: &str| ids.iter().position(|id| *id == format!("{name}{round}"));
-        assert!(position("again").expect("delivered") < position("next").expect("delivered"), "{ids:?}");
         assert!(
-            position("silent").is_none_or(|silent| silent < position("again").expect("delivered")),
+            position("resubmitted").expect("delivered") < position("next").expect("delivered"),
+            "{ids:?}"
+        );
+        assert!(
+            position("abandoned")
+                .is_none_or(|abandoned| abandoned < position("resubmitted").expect("delivered")),
             "{ids:?}"
         );
     }
--- a/crates/relay/tests/races.rs
+++ b/crates/relay/tests/races.rs
@@ -1,4 +1,4 @@
-//! Races between two events, each forced by gates in the stand-ins. Checked by the requests that relay processes send over
+//! Races between two events, each forced by gates in the test servers. Checked by the requests that relay processes send over
 //! loopback and by their log.
 
 #[allow(dead_code)]
@@ -215,7 +215,7 @@
 }
 
 // Requests that arrive just as the process exits: every accepted message is acknowledged, and no unacknowledged message is
-// kept. The relay is suspended over its stop time, so that the requests and the exit are due together when it resumes.
+// kept. The relay is suspended until its exit is due; when it resumes, the requests and the exit are due together.
 #[test]
 fn shutdown_keeps_exactly_the_acknowledged_messages() {
     let endpoint = Server::start(|_| ok());
@@ -290,12 +290,12 @@
     let (old, new) = (Server::start(|_| ok()), Server::start(|_| ok()));
     let (e1, e2) = (member("e1", old.address, 7, "single"), member("e2", new.address, 7, "single"));
     let gate = Gate::default();
-    let (passed, list) = (gate.clone(), json!({"revision": 9, "complete": true, "members": [e1, e2]}));
+    let (server_gate, list) = (gate.clone(), json!({"revision": 9, "complete": true, "members": [e1, e2]}));
     // The first list request gets a complete response at once; the watch that follows is held until the change is done.
     let list_requests = AtomicUsize::new(0);
     let old_discovery = Server::start(move |r| {
         if r.path.starts_with("/catalog") && list_requests.fetch_add(1, Ordering::SeqCst) > 0 {
-            passed.pass();
+            server_gate.pass();
         }
         respond(200, "", &list.to_string())
     });
@@ -320,10 +320,10 @@
 #[test]
 fn call_in_flight_to_an_unlisted_endpoint_ends_with_its_response() {
     let gate = Gate::default();
-    let passed = gate.clone();
+    let server_gate = gate.clone();
     let (old, new) = (
         Server::start(move |_| {
-            passed.pass();
+            server_gate.pass();
             ok()
         }),
         Server::start(|_| respond(503, "", "")),
--- a/crates/relay/tests/relay/calls.rs
+++ b/crates/relay/tests/relay/calls.rs
@@ -129,7 +129,7 @@
 
 #[test]
 fn call_with_slow_connect_obeys_a_drain_reported_meanwhile() {
-    // The relay can't know when discovery published the drain, so the drain binds even within the grace after the relay read it.
+    // The relay can't know when discovery published the drain, so the relay obeys it as soon as it is read, even within the grace.
     let (listener, fillers) = full_listener();
     let e1 = member("e1", listener.local_addr().expect("local address"), 7, "single");
     let other = Server::start(|_| ok());
--- a/crates/relay/tests/relay/main.rs
+++ b/crates/relay/tests/relay/main.rs
@@ -1,4 +1,4 @@
-//! Runs relay processes against stand-ins on loopback sockets.
+//! Runs relay processes against test servers on loopback sockets.
 
 #[allow(dead_code)]
 #[path = "../support/mod.rs"]
--- a/crates/relay/tests/relay/shared_ids.rs
+++ b/crates/relay/tests/relay/shared_ids.rs
@@ -45,11 +45,11 @@
     fixture.config["settings"]["quantum"] = LONG_DECISION_INTERVAL_US.into();
     let relay = fixture.start_relay();
     let request = submit_request("m1", 5, "c=pay,d=12000,dest=7", b"own");
-    let mut leaving = TcpStream::connect(relay.listen).expect("connect");
-    leaving.write_all(&request).expect("send the request");
+    let mut disconnected = TcpStream::connect(relay.listen).expect("connect");
+    disconnected.write_all(&request).expect("send the request");
     std::thread::sleep(READ_TIME);
-    socket2::SockRef::from(&leaving).set_linger(Some(Duration::ZERO)).expect("set the linger time");
-    drop(leaving);
+    socket2::SockRef::from(&disconnected).set_linger(Some(Duration::ZERO)).expect("set the linger time");
+    drop(disconnected);
     assert_eq!(relay.client().request(&request), "+OK");
     wait_until("the delivery", || endpoint.ids().len() == 2);
     assert_eq!(endpoint.ids(), ["m1", "m1"], "rejected by the endpoint once, then delivered");
--- a/crates/relay/tests/support/gate.rs
+++ b/crates/relay/tests/support/gate.rs
@@ -38,9 +38,9 @@
 /// Starts an endpoint that holds every call at a gate before it responds: calls are in flight until the test opens it.
 pub(crate) fn gated_server(handler: impl Fn() -> ServerAction + Send + Sync + 'static) -> (Gate, Server) {
     let gate = Gate::default();
-    let passed = gate.clone();
+    let server_gate = gate.clone();
     let endpoint = Server::start(move |_| {
-        passed.pass();
+        server_gate.pass();
         handler()
     });
     (gate, endpoint)
