--- a/crates/discovery/src/poll_schedule.rs
+++ b/crates/discovery/src/poll_schedule.rs
@@ -13,19 +13,18 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(3_000);
 
 /// Shortest wait of a watch (a long poll); a watch waits for the poll interval if that is longer, up to
-/// `MAX_WATCH_WAIT`. Limits the effect of a watch that stops responding: the changes that it misses count as
-/// known to the relay 6 s after it stopped responding, or 2 s after the end of its wait if that is later.
+/// `MAX_WATCH_WAIT`. A short wait limits the effect of a watch that gets no response: a missed change counts as
+/// known to the relay 6 s after discovery stopped responding, or 2 s after the end of the wait if that is later.
 const MIN_WATCH_WAIT: Duration = Duration::from_millis(2_000);
 /// Longest wait that discovery allows for a poll.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(60_000);
-/// Time after the end of its wait at which a watch without an answer has failed. Together with the backoff
-/// and the next poll this is less than the 2 s after which the changes that it missed count as known to the
-/// relay.
+/// Time after the end of its wait at which a watch without a response has failed. Together with the backoff
+/// and the next poll this is less than the 2 s after which missed changes count as known to the relay.
 const WATCH_GRACE: Duration = Duration::from_millis(1_000);
-/// Timeout of a poll that requests an immediate answer. A discovery service short of capacity responds with
+/// Timeout of a poll that requests an immediate response. A discovery service short of capacity responds with
 /// an error after 2 s; a poll given up sooner would cost it the same and be repeated.
 const POLL_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Timeout of a poll that requests an immediate answer if the settings require no polling. The discovery
+/// Timeout of a poll that requests an immediate response if the settings require no polling. The discovery
 /// service then runs on the relay's machine and answers immediately, and the list of a new discovery service
 /// counts as known to the relay within 4 s.
 const LOCAL_POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -49,7 +48,7 @@
 /// Time limits of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollTimeouts {
-    /// Time for which discovery may wait for a change; zero if the answer is due immediately.
+    /// Time for which discovery may wait for a change; zero if the response is due immediately.
     pub wait: Duration,
     /// Time after which the relay gives up the poll.
     pub request_timeout: Duration,
@@ -70,8 +69,8 @@
     }
 
     /// Returns the time limits of a poll. If `is_up_to_date`, the last poll returned a list, and this poll is a
-    /// watch that waits for a newer one; otherwise the answer is due immediately. The cost of a watch is one poll
-    /// per wait while nothing changes; its answer carries no entries.
+    /// watch that waits for a newer one; otherwise the response is due immediately. While nothing changes, a
+    /// watch costs one poll per wait, whose response has no entries.
     pub fn poll_timeouts(&self, is_up_to_date: bool) -> PollTimeouts {
         if is_up_to_date {
             let wait = self.poll_interval.clamp(MIN_WATCH_WAIT, MAX_WATCH_WAIT);
--- a/crates/handover/src/role.rs
+++ b/crates/handover/src/role.rs
@@ -20,8 +20,8 @@
 /// before its SIGKILL, which comes 3.7 s after its SIGTERM, and the SIGTERM is sent once the successor
 /// reports that it serves.
 pub const MAX_TAKEOVER_DELAY: Duration = Duration::from_millis(4_000);
-/// Time that a message must have left until its deadline, beyond [`MAX_TAKEOVER_DELAY`], for a successor to
-/// accept it.
+/// Minimum time to the deadline of a message, in addition to [`MAX_TAKEOVER_DELAY`], for a successor to accept
+/// it.
 pub const DEADLINE_MARGIN: Duration = Duration::from_millis(500);
 /// Share of the folder's size limit for the active process's spool. The part that neither spool uses is for
 /// small files, and for the spool of an active process of an older version that used the whole limit.
@@ -86,17 +86,17 @@
     pub has_shared_clock: bool,
 }
 
-/// Returns whether a successor accepts a message with `left` until its deadline. Without enough time left the
-/// message is rejected, as it might expire while no process may send it. A message in order is accepted only
+/// Returns whether a successor accepts a message. If the time to its deadline is too short, the message is
+/// rejected, as it might expire while no process may send it. A message in order is accepted only
 /// if its position among the messages of its key is certain; otherwise the active process could send the next
 /// one of the key first.
-pub fn successor_accepts(left: Duration, is_in_order: bool, active: ActiveProcessState) -> bool {
+pub fn successor_accepts(time_to_deadline: Duration, is_in_order: bool, active: ActiveProcessState) -> bool {
     let has_certain_position = active.is_handing_over && active.has_shared_clock;
-    left > MAX_TAKEOVER_DELAY + DEADLINE_MARGIN && (!is_in_order || has_certain_position)
+    time_to_deadline > MAX_TAKEOVER_DELAY + DEADLINE_MARGIN && (!is_in_order || has_certain_position)
 }
 
-/// Returns whether an active process accepts a message. Once it hands over, messages in order are left to its
-/// successor. While a successor that has not yet exited may hold earlier messages of the key, messages in
+/// Returns whether an active process accepts a message. Once it hands over, only its successor accepts messages
+/// in order. While a successor that has not yet exited may hold earlier messages of the key, messages in
 /// order are not accepted until that successor has exited.
 pub fn active_accepts(is_in_order: bool, is_handing_over: bool, successor_may_hold_earlier: bool) -> bool {
     !is_in_order || !(is_handing_over || successor_may_hold_earlier)
--- a/crates/handover/src/snapshot.rs
+++ b/crates/handover/src/snapshot.rs
@@ -74,9 +74,9 @@
         serde_json::from_str(text).map_err(HandoverError::InvalidSnapshot)
     }
 
-    /// Returns whether the active process may have written the snapshot: it is the writer, or is itself
-    /// unknown. A snapshot of another process is stale: the active process could not remove the file of an
-    /// earlier one.
+    /// Returns whether the active process may have written the snapshot: it is the writer, or its name is not
+    /// known. A snapshot of another process is stale: an earlier process wrote it, and the active process
+    /// could not remove the file.
     pub fn may_be_written_by(&self, active_process: Option<&str>) -> bool {
         active_process.is_none_or(|active| self.writer.as_deref() == Some(active))
     }
--- a/crates/lab/src/day/relays.rs
+++ b/crates/lab/src/day/relays.rs
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Runs due steps one after another, so that each relay sees the capacity that earlier relays have used.
+    /// Runs due steps one after another. Each step subtracts the capacity that it uses from the ground truth for the
+    /// relays after it.
     fn step_relays_with_truth(&mut self) {
         self.refresh_truth();
         for relay in 0..self.relays.len() {
--- a/crates/lab/src/day/replacement.rs
+++ b/crates/lab/src/day/replacement.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Adds an endpoint of the same group, on a route of its own where the group's endpoints have separate limits.
+    /// Adds an endpoint of the same group, on its own route if the group's endpoints have separate limits.
     fn add_replacement(&mut self, old: u32) -> u32 {
         let new = self.servers.len() as u32;
         let mut setup = self.servers[old as usize].setup;
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -120,7 +120,7 @@
     pub classes: BTreeMap<String, Estimate>,
 }
 
-/// Services of the two reference policies.
+/// Service of each of the two reference policies.
 #[derive(Clone, Copy)]
 struct ServiceRange {
     single_attempt: f64,
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -32,7 +32,7 @@
     pub(crate) rejects_all: bool,
     pub(crate) error_rate: f64,
     pub(crate) reset_rate: f64,
-    /// Share of idle connections that are broken without their relay having noticed.
+    /// Share of idle connections that are broken, undetected by their relay.
     pub(crate) stale_rate: f64,
     /// Factor by which work takes longer.
     pub(crate) slowdown: f64,
--- a/crates/spool/src/compaction.rs
+++ b/crates/spool/src/compaction.rs
@@ -1,5 +1,5 @@
-//! Compaction: writes the messages that are still needed to a new log file, and computes the space that they
-//! need at most. The old and the new file together stay within the size limit.
+//! Compaction: writes the messages that are still needed to a new log file, and computes the maximum space
+//! that they need. The old and the new file together stay within the size limit.
 
 use crate::log_file::{SPOOL_FILE, Spool};
 use crate::message::{AcceptedMessage, StoredMessage};
