--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -1,6 +1,8 @@
 //! The circuit breaker of a route: consecutive failures open it, a successful trial closes it again.
 
-use super::concurrency::{CONCURRENCY_LIMIT_MAX, ENDPOINT_FAILURE_THRESHOLD, LIMIT_DECREASE};
+use super::concurrency::{
+    CONCURRENCY_LIMIT_DECREASE_FACTOR, CONCURRENCY_LIMIT_MAX, ENDPOINT_FAILURE_THRESHOLD,
+};
 use super::{pacing, slow_start};
 use crate::interface::Outcome;
 use crate::state::{Backoff, Breaker, CallResult, State};
@@ -14,10 +16,10 @@
 const QUIET_FAILURE_THRESHOLD: u32 = 3;
 /// Time without a success, from the first failure on, after which a destination counts as quiet.
 const QUIET_PERIOD: Duration = Duration::from_millis(1_500);
-/// Delay before the first trial; also how long one failing endpoint of several is skipped.
+/// Delay before the first trial; also the time for which one failing endpoint of several is skipped.
 pub(super) const RECOVERY_DELAY: Duration = Duration::from_millis(1_800);
-/// Delay before a trial, longer after each failed one: few attempts in a long outage. The maximum bounds the
-/// time in which a recovery is detected.
+/// Delay before a trial. Grows after each failed trial, so that a long outage gets few attempts; the maximum
+/// bounds the time until a recovery is detected.
 const TRIAL_WAIT: Backoff = Backoff { first: RECOVERY_DELAY, growth: 1.4, max: Duration::from_millis(4_500) };
 /// Waiting messages per failure above which the trial delay does not grow, as messages outnumber trials.
 const WAITING_MESSAGES_PER_FAILURE: u32 = 4;
@@ -70,7 +72,12 @@
 pub(super) fn record_failure(state: &mut State, call: &CallResult) {
     let now = state.now;
     let skip_until = now + RECOVERY_DELAY;
-    state.endpoints.record_failure(call.endpoint, LIMIT_DECREASE, ENDPOINT_FAILURE_THRESHOLD, skip_until);
+    state.endpoints.record_failure(
+        call.endpoint,
+        CONCURRENCY_LIMIT_DECREASE_FACTOR,
+        ENDPOINT_FAILURE_THRESHOLD,
+        skip_until,
+    );
     let jitter = state.jitter.draw(call.endpoint.0);
     let waiting = state.messages.count_without_call(call.route.destination);
     let Some(route) = state.routes.get_mut(call.route) else { return };
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -1,7 +1,7 @@
 //! Rate limits: a route is paced to this relay's share of its rate limit. The share falls with rejections and
 //! grows with successes. After a rejection the route also backs off.
 
-use super::{LARGE_FLEET, concurrency::LIMIT_DECREASE, slow_start};
+use super::{LARGE_FLEET, concurrency::CONCURRENCY_LIMIT_DECREASE_FACTOR, slow_start};
 use crate::interface::*;
 use crate::state::{Backoff, Breaker, CallResult, Route, RouteId, State, TokenBucket};
 use std::time::Duration;
@@ -69,7 +69,7 @@
 }
 
 /// Estimates the rate limit from this relay's successful calls if no rate is known. Without an estimate a
-/// slow start would let hardly any call pass until it is over.
+/// slow start would allow hardly any calls until its end.
 pub(super) fn estimate_rate_limit(state: &mut State, id: RouteId) {
     let (now, relay_count) = (state.now, state.relay_count());
     let Some(route) = state.routes.get_mut(id) else { return };
@@ -103,7 +103,7 @@
 pub(super) fn record_rejection(state: &mut State, call: &CallResult, retry_after: Duration) {
     let now = state.now;
     let jitter = state.jitter.draw(call.endpoint.0);
-    state.endpoints.record_rejection(call.endpoint, LIMIT_DECREASE);
+    state.endpoints.record_rejection(call.endpoint, CONCURRENCY_LIMIT_DECREASE_FACTOR);
     let Some(route) = state.routes.get_mut(call.route) else { return };
     route.record_rejection(now);
     if now.saturating_sub(route.rate_share_decreased_at) > RATE_SHARE_DECREASE_INTERVAL {
