--- a/crates/relay/tests/handover/stale_marker.rs
+++ b/crates/relay/tests/handover/stale_marker.rs
@@ -50,6 +50,8 @@
     fixture.gate.wait_for_arrivals(1);
     let mut successor = fixture.start(1);
     active.terminate();
+    // Before the handover the active process itself accepts and sends the message.
+    wait_until("the handover", || fixture.log().contains("hands over to its successor process"));
     wait_until("the successor to accept ordered messages", || fixture.submit_reply("m1", 6, "pay") == "+OK");
     // An incomplete request: the stopping successor waits for the rest until its time is over.
     let mut incomplete = TcpStream::connect(fixture.listen).expect("connect");
