--- a/crates/relay/tests/support/process.rs
+++ b/crates/relay/tests/support/process.rs
@@ -6,7 +6,7 @@
 use mountshift_faults::{CONTROL_VARIABLE, FaultControl};
 use serde_json::{Value, json};
 use std::io::BufReader;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -69,12 +69,18 @@
 
 /// Returns a free address on a loopback IP that no other test, here or in a concurrent process, uses, so that none of
 /// their servers or connections takes the port before it is used.
+///
+/// The socket that reserves the port does not listen. A process that another test is starting holds a copy of it until its
+/// exec: a copy that listens would accept the first connection meant for the relay and close it without a reply.
 pub(crate) fn free_address() -> SocketAddr {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let (process, n) = (std::process::id(), COUNT.fetch_add(1, Ordering::SeqCst));
     let octet = |n: u32| (n % 250) as u8 + 1;
     let ip = [127, octet(process / 250 % 120 + 100), octet(process), octet(n)];
-    TcpListener::bind(SocketAddr::from((ip, 0))).and_then(|l| l.local_addr()).expect("a port")
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    socket.set_reuse_address(true).expect("set the option");
+    socket.bind(&SocketAddr::from((ip, 0)).into()).expect("a port");
+    socket.local_addr().expect("local address").as_socket().expect("IPv4")
 }
 
 impl Relay {
