--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -182,6 +182,10 @@
     let relay = fixture.start_relay();
     let mut client = relay.client();
     assert_eq!(client.request(b"*1\r\n$4\r\nPING\r\n"), "+PONG");
+    // The connections of the start must be closed: a descriptor that they free below the limit would serve a call.
+    wait_until("the end of the start's connections", || {
+        fixture.log().matches("connection from").count() == 2
+    });
     let limit_before = relay.set_descriptor_limit(Some(relay.first_free_descriptor()));
     // More failures than the eight attempts allowed per message; even the non-idempotent message must outlast them.
     assert_eq!(client.request(&submit_request("once", 0, "c=once,d=15000,dest=7", b"x")), "+OK");
