--- a/crates/relay/tests/order_by_key.rs
+++ b/crates/relay/tests/order_by_key.rs
@@ -11,6 +11,8 @@
 /// Hold-off of a key after an attempt that may still be running. Longer than usual, to tell it from the delays of a busy
 /// machine.
 const HOLD_OFF: Duration = Duration::from_millis(1_200);
+/// Tolerance of the protocol for delays of sockets: the server notices the end of a call after the relay has ended it.
+const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 /// Maximum gap before the next message of a key without a hold-off.
 const MAX_GAP_WITHOUT_HOLD_OFF: Duration = Duration::from_millis(800);
 /// Time to the deadline of messages whose call may end at the relay's timeout.
@@ -176,6 +178,10 @@
         Some(next_at.saturating_duration_since(ended_at))
     };
     let gaps: Vec<Option<Duration>> = (0..cases.len()).map(gap).collect();
+    // By the relay's own clock each hold-off must have its full length: its guard logs each one that is shorter.
+    let violations: Vec<String> =
+        fixture.log().lines().filter(|line| line.contains(" violation ")).map(String::from).collect();
+    assert!(violations.is_empty(), "{violations:#?}");
     cases.into_iter().zip(gaps).map(|(case, gap)| CaseResult { case, gap }).collect()
 }
 
@@ -193,7 +199,11 @@
         let batch: Vec<Case> = cases.by_ref().take(CONCURRENT_CASES).collect();
         for CaseResult { case, gap } in run_cases(batch, class, has_stalls) {
             let is_expected = gap.is_some_and(|gap| {
-                if case.needs_hold_off { gap >= HOLD_OFF } else { gap < MAX_GAP_WITHOUT_HOLD_OFF }
+                if case.needs_hold_off {
+                    gap >= HOLD_OFF - SOCKET_TOLERANCE
+                } else {
+                    gap < MAX_GAP_WITHOUT_HOLD_OFF
+                }
             });
             if !is_expected {
                 wrong.push(format!("{class}: {}: {gap:?}", case.name));
